--- a/bench/admission/admission_world.cc
+++ b/bench/admission/admission_world.cc
@@ -31,9 +31,10 @@
   }
   for (const HostId& name : names) {
     TargetAdmission::Options admission{
-        .slots = options.slots, .cold_slots = 1, .connections = 25};
-    admission.planned_part = options.planned_part;
-    admission.adaptive = options.mode == AdmissionMode::kDirectAdaptive;
+        .slots = options.slots, .cold_slots = 1, .max_connections = 25};
+    admission.usable_time_fraction = options.planned_part;
+    admission.use_adaptive_limit =
+        options.mode == AdmissionMode::kDirectAdaptive;
     this->admissions.push_back(std::make_unique<TargetAdmission>(admission));
     TargetShare share{.slots = options.slots};
     if (options.mode == AdmissionMode::kSplitSlots) {
--- a/bench/capacity/memory_cost.cc
+++ b/bench/capacity/memory_cost.cc
@@ -61,7 +61,7 @@
   std::vector<std::unique_ptr<TargetAdmission>> all;
   for (int number = 0; number < count; ++number) {
     all.push_back(std::make_unique<TargetAdmission>(
-        TargetAdmission::Options{.slots = 2, .connections = 25}));
+        TargetAdmission::Options{.slots = 2, .max_connections = 25}));
     all.back()->SetShare({.slots = 2}, kNow);
     all.back()->OnReport(SampleReport(number), kNow);
   }
--- a/bench/capacity/query_cost.cc
+++ b/bench/capacity/query_cost.cc
@@ -24,7 +24,7 @@
 constexpr int kSubRequestsAFanOut = 15000;
 
 TargetAdmission WarmAdmission(TimePoint now) {
-  TargetAdmission admission({.slots = 2, .connections = 25});
+  TargetAdmission admission({.slots = 2, .max_connections = 25});
   admission.SetShare({.slots = 2}, now);
   admission.OnReport(SampleReport(1), now);
   return admission;
--- a/knapweedroad/admission/adaptive_limit.cc
+++ b/knapweedroad/admission/adaptive_limit.cc
@@ -5,34 +5,38 @@
 namespace knapweedroad {
 namespace {
 
-// The lowest latency drifts up by this part with each answer, so that a target
-// that became slower for good isn't taken for an overloaded one for ever.
-constexpr int kLowestDrift = 1000;
+// The lowest latency drifts up by this part with each answer, so that a
+// target that became slower for good isn't taken for an overloaded one for
+// ever.
+constexpr int kMinLatencyDriftDivisor = 1000;
 
 }  // namespace
 
-void AdaptiveLimit::OnAnswer(Duration latency, TimePoint now) {
-  if (this->lowest == Duration::zero()) {
-    this->lowest = latency;
+void AdaptiveLimit::OnSuccess(Duration latency, TimePoint now) {
+  if (this->min_latency == Duration::zero()) {
+    this->min_latency = latency;
   }
-  this->lowest = std::min(latency, this->lowest + this->lowest / kLowestDrift);
-  const auto ratio =
+  this->min_latency = std::min(
+      latency, this->min_latency + this->min_latency / kMinLatencyDriftDivisor);
+  const auto latency_ratio =
       static_cast<double>(latency.count()) /
-      static_cast<double>(std::max<int64_t>(this->lowest.count(), 1));
-  if (ratio > this->options.queue_factor) {
+      static_cast<double>(std::max<int64_t>(this->min_latency.count(), 1));
+  if (latency_ratio > this->options.overload_latency_factor) {
     this->OnOverload(now);
     return;
   }
-  this->current = std::min(this->current + 1.0 / this->current,
-                           static_cast<double>(this->options.highest));
+  this->current_limit =
+      std::min(this->current_limit + 1.0 / this->current_limit,
+               static_cast<double>(this->options.max_limit));
 }
 
 void AdaptiveLimit::OnOverload(TimePoint now) {
   if (now < this->next_decrease) {
     return;
   }
-  this->next_decrease = now + this->lowest;
-  this->current = std::max(this->current * this->options.decrease, 1.0);
+  this->next_decrease = now + this->min_latency;
+  this->current_limit =
+      std::max(this->current_limit * this->options.decrease_factor, 1.0);
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/admission/admission_action.h
+++ b/knapweedroad/admission/admission_action.h
@@ -40,10 +40,10 @@
 
 // A word for logs and metric labels.
 constexpr std::string_view ToString(RefusalKind kind) {
-  constexpr std::string_view kWords[kRefusalKinds] = {
+  constexpr std::string_view kNames[kRefusalKinds] = {
       "overloaded",     "over_share",    "deadline", "no_free_slot",
       "target_leaving", "not_accepting", "no_lease"};
-  return kWords[static_cast<std::size_t>(kind)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 // Send it now. The deadline may be nearer than the one asked for, and is the
--- a/knapweedroad/admission/admission_mode.cc
+++ b/knapweedroad/admission/admission_mode.cc
@@ -6,11 +6,11 @@
 
 namespace knapweedroad {
 
-std::optional<AdmissionMode> ParseAdmissionMode(std::string_view word) {
+std::optional<AdmissionMode> ParseAdmissionMode(std::string_view name) {
   for (const AdmissionMode mode :
        {AdmissionMode::kLease, AdmissionMode::kDirectAdaptive,
         AdmissionMode::kSplitSlots}) {
-    if (ToString(mode) == word) {
+    if (ToString(mode) == name) {
       return mode;
     }
   }
@@ -34,14 +34,14 @@
                        std::span<const HostId> hosts,
                        uint32_t slots) {
   const auto order = RendezvousOrder(target, hosts);
-  const auto place = std::find(order.begin(), order.end(), self);
-  if (place == order.end()) {
+  const auto found = std::find(order.begin(), order.end(), self);
+  if (found == order.end()) {
     return {};
   }
-  const auto rank = static_cast<uint32_t>(place - order.begin());
+  const auto rank = static_cast<uint32_t>(found - order.begin());
   const auto count = static_cast<uint32_t>(order.size());
-  const uint32_t rest = rank < slots % count ? 1 : 0;
-  return {.slots = slots / count + rest};
+  const uint32_t extra_slot = rank < slots % count ? 1 : 0;
+  return {.slots = slots / count + extra_slot};
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/admission/admission_mode.h
+++ b/knapweedroad/admission/admission_mode.h
@@ -28,13 +28,13 @@
 };
 
 // "lease", "direct" or "split"; nothing for any other word.
-std::optional<AdmissionMode> ParseAdmissionMode(std::string_view word);
+std::optional<AdmissionMode> ParseAdmissionMode(std::string_view name);
 std::string_view ToString(AdmissionMode mode);
 
-// This host's part of a target's slots where they are split evenly. The rest of
-// the division goes to the first hosts of the target's rendezvous order. Where
-// the slots are fewer than the hosts, the others have none and can't use the
-// target at all.
+// This host's part of a target's slots where they are split evenly. The
+// rest of the division goes to the first hosts of the target's rendezvous
+// order. Where the slots are fewer than the hosts, the others have none and
+// can't use the target at all.
 TargetShare SplitShare(const TargetId& target,
                        const HostId& self,
                        std::span<const HostId> hosts,
--- a/knapweedroad/admission/admission_mode_test.cc
+++ b/knapweedroad/admission/admission_mode_test.cc
@@ -34,11 +34,11 @@
 }
 
 Test(AdaptiveLimit, RisesOnQuickAnswersAndFallsOnASign) {
-  AdaptiveLimit limit({.highest = 6});
+  AdaptiveLimit limit({.max_limit = 6});
   TimePoint now{seconds(1)};
   for (int i = 0; i < 100; ++i) {
     now += milliseconds(20);
-    limit.OnAnswer(milliseconds(20), now);
+    limit.OnSuccess(milliseconds(20), now);
   }
   cr_assert_eq(limit.limit(), 6u);
   limit.OnOverload(now);
--- a/knapweedroad/admission/cold_start_ramp.cc
+++ b/knapweedroad/admission/cold_start_ramp.cc
@@ -13,95 +13,96 @@
 }  // namespace
 
 ColdStartRamp::ColdStartRamp(const Options& options)
-    : options(options), current(1) {
+    : options(options), current_limit(1) {
   this->options.slots = std::max<uint32_t>(options.slots, 1);
-  this->current = this->cold_limit();
+  this->current_limit = this->cold_limit();
 }
 
 uint32_t ColdStartRamp::cold_limit() const {
   return std::clamp<uint32_t>(this->options.cold_slots, 1, this->options.slots);
 }
 
-void ColdStartRamp::OnCleanAnswer(Duration latency,
-                                  uint64_t epoch,
-                                  TimePoint now) {
-  if (epoch != this->falls) {
+void ColdStartRamp::OnSuccess(Duration latency, uint64_t epoch, TimePoint now) {
+  if (epoch != this->resets) {
     return;
   }
-  if (this->window_count == 0) {
+  if (this->window_answers == 0) {
     this->StartWindow(now);
   }
-  this->window.Add(latency);
-  ++this->window_count;
-  const uint32_t needed = this->options.window_answers * this->patience;
-  const bool full = this->window_count >= needed &&
-                    now - this->window_start >= this->options.window_time;
-  if (full) {
+  this->window_latency.Add(latency);
+  ++this->window_answers;
+  const uint32_t needed =
+      this->options.min_window_answers * this->backoff_factor;
+  const bool complete =
+      this->window_answers >= needed &&
+      now - this->window_start >= this->options.min_window_time;
+  if (complete) {
     this->CloseWindow(now);
   }
 }
 
 void ColdStartRamp::StartWindow(TimePoint now) {
-  this->window = LatencyBaseline();
-  this->window_count = 0;
+  this->window_latency = LatencyMedian();
+  this->window_answers = 0;
   this->window_start = now;
 }
 
-// A whole window far above the baseline is a target that fell cold without a
-// word (its caches are empty); single stragglers don't move a median.
+// A whole window far above the baseline is a target that fell cold
+// without a word (its caches are empty); single stragglers don't move a median.
 void ColdStartRamp::CloseWindow(TimePoint now) {
-  const Duration median = this->window.median();
-  const Duration baseline = this->usual.median();
+  const Duration median = this->window_latency.median();
+  const Duration baseline = this->baseline_latency.median();
   const bool first = baseline == Duration::zero();
   const bool slow =
-      !first && median > Scaled(baseline, this->options.cold_factor);
-  const bool clean =
-      first || median <= Scaled(baseline, this->options.clean_factor);
+      !first && median > Scaled(baseline, this->options.cold_latency_factor);
+  const bool warm =
+      first || median <= Scaled(baseline, this->options.warm_latency_factor);
   const bool was_cold = this->cold();
-  this->usual.Add(median);
+  this->baseline_latency.Add(median);
   this->StartWindow(now);
   if (slow && !was_cold) {
-    this->Fall(now);
+    this->ResetToCold(now);
     return;
   }
-  if (!clean || !this->said_ready) {
+  if (!warm || !this->reported_ready) {
     return;
   }
-  if (this->current < this->options.slots) {
-    ++this->current;
-    ++this->steps;
+  if (this->current_limit < this->options.slots) {
+    ++this->current_limit;
+    ++this->raises;
   } else {
-    this->patience = 1;
+    this->backoff_factor = 1;
   }
 }
 
-void ColdStartRamp::FallOnReport(TimePoint now) {
-  const TimePoint believe_from = this->believe_reports_from;
-  this->Fall(now);
-  this->believe_reports_from = believe_from;
+void ColdStartRamp::ResetOnColdReport(TimePoint now) {
+  const TimePoint valid_from = this->reports_valid_from;
+  this->ResetToCold(now);
+  this->reports_valid_from = valid_from;
 }
 
-void ColdStartRamp::Restarted(TimePoint now) {
-  this->Fall(now);
-  this->believe_reports_from = now;
+void ColdStartRamp::OnTargetRestart(TimePoint now) {
+  this->ResetToCold(now);
+  this->reports_valid_from = now;
 }
 
-void ColdStartRamp::OnReported(bool ready, TimePoint now) {
-  this->said_ready = ready && now >= this->believe_reports_from;
+void ColdStartRamp::OnReport(bool ready, TimePoint now) {
+  this->reported_ready = ready && now >= this->reports_valid_from;
 }
 
-void ColdStartRamp::OnAnsweredReady(uint64_t epoch) {
-  this->said_ready = this->said_ready || epoch == this->falls;
+void ColdStartRamp::OnReadyAnswer(uint64_t epoch) {
+  this->reported_ready = this->reported_ready || epoch == this->resets;
 }
 
-void ColdStartRamp::Fall(TimePoint now) {
-  ++this->falls;
+void ColdStartRamp::ResetToCold(TimePoint now) {
+  ++this->resets;
   if (!this->cold()) {
-    this->patience = std::min(this->patience * 2, this->options.most_patience);
+    this->backoff_factor =
+        std::min(this->backoff_factor * 2, this->options.max_backoff_factor);
   }
-  this->said_ready = false;
-  this->believe_reports_from = now + this->options.report_lag;
-  this->current = this->cold_limit();
+  this->reported_ready = false;
+  this->reports_valid_from = now + this->options.max_report_age;
+  this->current_limit = this->cold_limit();
   this->StartWindow(now);
 }
 
--- a/knapweedroad/admission/cold_start_ramp.h
+++ b/knapweedroad/admission/cold_start_ramp.h
@@ -1,9 +1,9 @@
 // How many requests a target bears now, from evidence: its cold limit at first,
-// one step more for each window of clean answers, and back to the cold limit at
-// the first sign that it is cold.
+// one step more for each window of clean answers, and back to the cold
+// limit at the first sign that it is cold.
 //
 //   ColdStartRamp ramp({.slots = 6, .cold_slots = 1});
-//   ramp.OnCleanAnswer(latency, ramp.epoch(), now);
+//   ramp.OnSuccess(latency, ramp.epoch(), now);
 //   if (in_flight < ramp.limit()) ...
 //
 // What the target says can only lower the limit: reports lag and may mislead,
@@ -15,7 +15,7 @@
 
 #include <cstdint>
 
-#include "knapweedroad/admission/latency_baseline.h"
+#include "knapweedroad/admission/latency_median.h"
 #include "knapweedroad/base/time.h"
 
 namespace knapweedroad {
@@ -26,71 +26,74 @@
     uint32_t slots = 1;
     // At least one: a target that gets nothing never warms.
     uint32_t cold_slots = 1;
-    // A window is over after this many clean answers and this much time.
-    uint32_t window_answers = 8;
-    Duration window_time = std::chrono::milliseconds(200);
-    // A window whose median is above this multiple of the baseline is no
-    // evidence of warmth; above the second one, it is evidence of cold.
-    double clean_factor = 2.0;
-    double cold_factor = 5.0;
+    // A window is over after this many clean answers and this much
+    // time.
+    uint32_t min_window_answers = 8;
+    Duration min_window_time = std::chrono::milliseconds(200);
+    // A window whose median is above this multiple of the baseline is
+    // no evidence of warmth; above the second one, it is evidence of cold.
+    double warm_latency_factor = 2.0;
+    double cold_latency_factor = 5.0;
     // Reports may be so old when they come in: for so long after a fall, one
     // that says "ready" may be of before it.
-    Duration report_lag = std::chrono::seconds(1);
+    Duration max_report_age = std::chrono::seconds(1);
     // A step that is followed by a fall was wrong, and doubles the answers
-    // that the next window needs, up to this many times the first number.
-    uint32_t most_patience = 16;
+    // that the next window needs, up to this many times the first
+    // number.
+    uint32_t max_backoff_factor = 16;
   };
 
   explicit ColdStartRamp(const Options& options);
 
   // An answer to an attempt begun in `epoch`. One begun before the last fall
   // says nothing of the target as it is now and is passed over.
-  void OnCleanAnswer(Duration latency, uint64_t epoch, TimePoint now);
+  void OnSuccess(Duration latency, uint64_t epoch, TimePoint now);
 
   // Any evidence of cold: a shed, a new incarnation, the target's own word.
-  void Fall(TimePoint now);
+  void ResetToCold(TimePoint now);
 
   // Its report says that it is cold: reports are in order, so that the next
   // "ready" is of after this.
-  void FallOnReport(TimePoint now);
+  void ResetOnColdReport(TimePoint now);
 
   // The target has started anew: its reports from now on are of after that,
   // however old they are.
-  void Restarted(TimePoint now);
+  void OnTargetRestart(TimePoint now);
 
   // The target's report says whether it is ready for its slots.
-  void OnReported(bool ready, TimePoint now);
+  void OnReport(bool ready, TimePoint now);
 
   // An answer to an attempt begun in `epoch` says that it is ready.
-  void OnAnsweredReady(uint64_t epoch);
+  void OnReadyAnswer(uint64_t epoch);
 
   // Requests at once, between the cold limit and the slots.
-  uint32_t limit() const { return this->current; }
-  bool cold() const { return this->current <= this->cold_limit(); }
+  uint32_t limit() const { return this->current_limit; }
+  bool cold() const { return this->current_limit <= this->cold_limit(); }
   uint32_t cold_limit() const;
 
-  // Counts the falls; an attempt is stamped with it at its start.
-  uint64_t epoch() const { return this->falls; }
-  uint64_t raises() const { return this->steps; }
+  // Counts the resets; an attempt is stamped with it at its start.
+  uint64_t epoch() const { return this->resets; }
+  uint64_t raise_count() const { return this->raises; }
 
-  // The target's usual latency, kept over falls; zero before any answer.
-  Duration baseline() const { return this->usual.median(); }
+  // The target's usual latency, kept over resets; zero before any
+  // answer.
+  Duration baseline() const { return this->baseline_latency.median(); }
 
  private:
   void StartWindow(TimePoint now);
   void CloseWindow(TimePoint now);
 
   Options options;
-  uint32_t current;
+  uint32_t current_limit;
   // The target's last word, as far as it counts, is that it is ready.
-  bool said_ready = false;
-  TimePoint believe_reports_from{};
-  uint32_t patience = 1;
-  uint64_t falls = 0;
-  uint64_t steps = 0;
-  LatencyBaseline usual;
-  LatencyBaseline window;
-  uint32_t window_count = 0;
+  bool reported_ready = false;
+  TimePoint reports_valid_from{};
+  uint32_t backoff_factor = 1;
+  uint64_t resets = 0;
+  uint64_t raises = 0;
+  LatencyMedian baseline_latency;
+  LatencyMedian window_latency;
+  uint32_t window_answers = 0;
   TimePoint window_start{};
 };
 
--- a/knapweedroad/admission/cold_start_ramp_test.cc
+++ b/knapweedroad/admission/cold_start_ramp_test.cc
@@ -7,32 +7,32 @@
 
 using std::chrono::milliseconds;
 
-ColdStartRamp ReadyRamp(uint32_t slots) {
+ColdStartRamp MakeReadyRamp(uint32_t slots) {
   ColdStartRamp ramp({.slots = slots, .cold_slots = 1});
-  ramp.OnReported(true, TimePoint{});
+  ramp.OnReport(true, TimePoint{});
   return ramp;
 }
 
 // Feeds answers, 40 ms apart.
-TimePoint Answer(ColdStartRamp& ramp,
-                 int answers,
-                 Duration latency,
-                 TimePoint now) {
+TimePoint FeedAnswers(ColdStartRamp& ramp,
+                      int answers,
+                      Duration latency,
+                      TimePoint now) {
   for (int i = 0; i < answers; ++i) {
     now += milliseconds(40);
-    ramp.OnCleanAnswer(latency, ramp.epoch(), now);
+    ramp.OnSuccess(latency, ramp.epoch(), now);
   }
   return now;
 }
 
 Test(ColdStartRamp, StartsColdAndStepsOnceAWindow) {
-  ColdStartRamp ramp = ReadyRamp(3);
+  ColdStartRamp ramp = MakeReadyRamp(3);
   cr_assert_eq(ramp.limit(), 1u);
-  TimePoint now = Answer(ramp, 8, milliseconds(20), TimePoint{});
+  TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 2u);
-  now = Answer(ramp, 8, milliseconds(20), now);
+  now = FeedAnswers(ramp, 8, milliseconds(20), now);
   cr_assert_eq(ramp.limit(), 3u);
-  Answer(ramp, 80, milliseconds(20), now);
+  FeedAnswers(ramp, 80, milliseconds(20), now);
   cr_assert_eq(ramp.limit(), 3u);
 }
 
@@ -40,96 +40,96 @@
 // while it was warm still come in, quick and clean; were they counted, it
 // would get its full load back within one window, and fall over.
 Test(ColdStartRamp, AnswersToWorkOfBeforeTheFallWarmNothing) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  TimePoint now = Answer(ramp, 8, milliseconds(20), TimePoint{});
-  const uint64_t before = ramp.epoch();
-  ramp.Fall(now);
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
+  const uint64_t old_epoch = ramp.epoch();
+  ramp.ResetToCold(now);
   for (int i = 0; i < 50; ++i) {
     now += milliseconds(40);
-    ramp.OnCleanAnswer(milliseconds(20), before, now);
+    ramp.OnSuccess(milliseconds(20), old_epoch, now);
   }
   cr_assert_eq(ramp.limit(), 1u);
 }
 
 Test(ColdStartRamp, StaysColdWhileTheTargetSaysSo) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  ramp.OnReported(false, TimePoint{});
-  Answer(ramp, 100, milliseconds(20), TimePoint{});
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  ramp.OnReport(false, TimePoint{});
+  FeedAnswers(ramp, 100, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 1u);
 }
 
-// A target falls cold and sheds. A report that it sent before, "ready", comes
-// in after that, and its quick answers to the light load look warm: with the
-// next step it would be overloaded again.
+// A target falls cold and sheds. A report that it sent before, "ready",
+// comes in after that, and its quick answers to the light load look warm: with
+// the next step it would be overloaded again.
 Test(ColdStartRamp, AReportOfBeforeTheFallPermitsNothing) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  TimePoint now = Answer(ramp, 8, milliseconds(20), TimePoint{});
-  ramp.Fall(now);
-  ramp.OnReported(true, now + milliseconds(900));
-  now = Answer(ramp, 50, milliseconds(20), now);
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
+  ramp.ResetToCold(now);
+  ramp.OnReport(true, now + milliseconds(900));
+  now = FeedAnswers(ramp, 50, milliseconds(20), now);
   cr_assert_eq(ramp.limit(), 1u);
-  ramp.OnReported(true, now);
-  Answer(ramp, 16, milliseconds(20), now);
+  ramp.OnReport(true, now);
+  FeedAnswers(ramp, 16, milliseconds(20), now);
   cr_assert_eq(ramp.limit(), 2u);
 }
 
 Test(ColdStartRamp, AReadyReportAfterAColdOneIsBelieved) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  ramp.FallOnReport(TimePoint{});
-  ramp.OnReported(true, TimePoint(milliseconds(10)));
-  Answer(ramp, 16, milliseconds(20), TimePoint{});
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  ramp.ResetOnColdReport(TimePoint{});
+  ramp.OnReport(true, TimePoint(milliseconds(10)));
+  FeedAnswers(ramp, 16, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 2u);
 }
 
 Test(ColdStartRamp, ANewLifesFirstReportIsBelieved) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  const TimePoint now = Answer(ramp, 8, milliseconds(20), TimePoint{});
-  ramp.Restarted(now);
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  const TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
+  ramp.OnTargetRestart(now);
   cr_assert_eq(ramp.limit(), 1u);
-  ramp.OnReported(true, now);
-  Answer(ramp, 16, milliseconds(20), now);
+  ramp.OnReport(true, now);
+  FeedAnswers(ramp, 16, milliseconds(20), now);
   cr_assert_eq(ramp.limit(), 2u);
 }
 
 // The reports lie: always "ready". Each step to the full slots ends in a shed,
 // and the next one must not come as soon as the last.
 Test(ColdStartRamp, EachWrongStepMakesTheNextOneRarer) {
-  ColdStartRamp ramp = ReadyRamp(2);
+  ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now{};
   int answers[2] = {0, 0};
   for (int& count : answers) {
     for (; ramp.limit() == 1; ++count) {
-      ramp.OnReported(true, now);
-      now = Answer(ramp, 1, milliseconds(20), now);
+      ramp.OnReport(true, now);
+      now = FeedAnswers(ramp, 1, milliseconds(20), now);
     }
-    ramp.Fall(now);
+    ramp.ResetToCold(now);
     now += std::chrono::seconds(1);
   }
   cr_assert_geq(answers[1], 2 * answers[0]);
 }
 
 Test(ColdStartRamp, FallsOnAWindowFarAboveTheBaseline) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  TimePoint now = Answer(ramp, 80, milliseconds(20), TimePoint{});
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 2u);
-  now = Answer(ramp, 8, milliseconds(200), now);
+  now = FeedAnswers(ramp, 8, milliseconds(200), now);
   cr_assert_eq(ramp.limit(), 1u);
 }
 
 Test(ColdStartRamp, SlowAnswersAreNoStepUp) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  TimePoint now = Answer(ramp, 80, milliseconds(20), TimePoint{});
-  ramp.Fall(now);
-  Answer(ramp, 16, milliseconds(60), now);
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
+  ramp.ResetToCold(now);
+  FeedAnswers(ramp, 16, milliseconds(60), now);
   cr_assert_eq(ramp.limit(), 1u);
 }
 
 Test(ColdStartRamp, OneStragglerInAWindowChangesNothing) {
-  ColdStartRamp ramp = ReadyRamp(2);
-  TimePoint now = Answer(ramp, 80, milliseconds(20), TimePoint{});
+  ColdStartRamp ramp = MakeReadyRamp(2);
+  TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
   for (int round = 0; round < 10; ++round) {
-    now = Answer(ramp, 1, milliseconds(400), now);
-    now = Answer(ramp, 7, milliseconds(20), now);
+    now = FeedAnswers(ramp, 1, milliseconds(400), now);
+    now = FeedAnswers(ramp, 7, milliseconds(20), now);
     cr_assert_eq(ramp.limit(), 2u);
   }
 }
--- a/knapweedroad/admission/latency_baseline.cc
+++ b/knapweedroad/admission/latency_median.cc
@@ -1,4 +1,4 @@
-#include "knapweedroad/admission/latency_baseline.h"
+#include "knapweedroad/admission/latency_median.h"
 
 #include <algorithm>
 
@@ -7,17 +7,17 @@
 
 // The first steps are large, so that the estimate settles within a few dozen
 // samples of a bad first one.
-constexpr uint32_t kSmallestStepDivisor = 32;
+constexpr uint32_t kMaxStepDivisor = 32;
 
 }  // namespace
 
-void LatencyBaseline::Add(Duration latency) {
-  ++this->samples;
-  if (this->samples == 1) {
+void LatencyMedian::Add(Duration latency) {
+  ++this->sample_count;
+  if (this->sample_count == 1) {
     this->estimate = latency;
     return;
   }
-  const uint32_t divisor = std::min(this->samples, kSmallestStepDivisor);
+  const uint32_t divisor = std::min(this->sample_count, kMaxStepDivisor);
   const Duration step =
       std::max<Duration>(this->estimate / divisor, Duration(1));
   if (latency > this->estimate) {
--- a/knapweedroad/admission/latency_baseline.h
+++ b/knapweedroad/admission/latency_median.h
@@ -1,11 +1,11 @@
 // A target's usual latency: a running median that a few stragglers don't move.
 //
-//   LatencyBaseline baseline;
+//   LatencyMedian baseline;
 //   baseline.Add(12ms);
 //   if (latency > 3 * baseline.median()) ...
 
-#ifndef KNAPWEEDROAD_ADMISSION_LATENCY_BASELINE_H_
-#define KNAPWEEDROAD_ADMISSION_LATENCY_BASELINE_H_
+#ifndef KNAPWEEDROAD_ADMISSION_LATENCY_MEDIAN_H_
+#define KNAPWEEDROAD_ADMISSION_LATENCY_MEDIAN_H_
 
 #include <cstdint>
 
@@ -13,7 +13,7 @@
 
 namespace knapweedroad {
 
-class LatencyBaseline {
+class LatencyMedian {
  public:
   void Add(Duration latency);
 
@@ -22,9 +22,9 @@
 
  private:
   Duration estimate{};
-  uint32_t samples = 0;
+  uint32_t sample_count = 0;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_ADMISSION_LATENCY_BASELINE_H_
+#endif  // KNAPWEEDROAD_ADMISSION_LATENCY_MEDIAN_H_
--- a/knapweedroad/admission/lease_holder.cc
+++ b/knapweedroad/admission/lease_holder.cc
@@ -31,7 +31,7 @@
       .votes_needed = this->options.electorate.size() / 2 + 1,
       .owners = {},
       .self = this->options.self};
-  for (std::size_t rank = 0; rank < TargetLease::kOwners; ++rank) {
+  for (std::size_t rank = 0; rank < TargetLease::kMaxOwners; ++rank) {
     if (rank < order.size()) {
       lease.owners[rank] = order[rank];
     }
@@ -96,7 +96,7 @@
     }
     lease.OnGrant(reply.grantor, grant, asked->second, now,
                   this->options.timing);
-    if (lease.phase == LeasePhase::kAsking && lease.VotedUntil() > now) {
+    if (lease.phase == LeasePhase::kRequesting && lease.MajorityUntil() > now) {
       lease.phase = LeasePhase::kHeld;
       this->AskParts(grant.target, found->second);
     }
@@ -159,14 +159,14 @@
 
 void LeaseHolder::Advance(const TargetId& target, Entry& entry, TimePoint now) {
   TargetLease& lease = entry.lease;
-  if (lease.phase == LeasePhase::kHeld && lease.VotedUntil() <= now) {
+  if (lease.phase == LeasePhase::kHeld && lease.MajorityUntil() <= now) {
     lease.phase = LeasePhase::kIdle;
   }
   switch (lease.phase) {
     case LeasePhase::kIdle:
       this->AdvanceIdle(target, entry, now);
       break;
-    case LeasePhase::kAsking:
+    case LeasePhase::kRequesting:
       // Votes without a majority would keep another host from getting one.
       this->GiveBack(target, entry);
       entry.next_ask =
@@ -176,7 +176,7 @@
       this->AdvanceHeld(target, entry, now);
       break;
     case LeasePhase::kIsolated:
-      if (this->leaving || entry.removed || lease.wanted ||
+      if (this->leaving || entry.removed || lease.own_part_wanted ||
           !this->contacts.Isolated(now)) {
         lease.phase = LeasePhase::kDraining;
       }
@@ -197,14 +197,14 @@
   }
   if (this->contacts.Isolated(now)) {
     if (this->contacts.MayActIsolated(now) &&
-        entry.lease.OwnRank() < TargetLease::kOwners) {
+        entry.lease.OwnRank() < TargetLease::kMaxOwners) {
       entry.lease.phase = LeasePhase::kIsolated;
       this->AskOwnPart(target, entry);
     }
     return;
   }
   if (preferred != nullptr && *preferred == this->options.self) {
-    entry.lease.phase = LeasePhase::kAsking;
+    entry.lease.phase = LeasePhase::kRequesting;
     this->AskVotes(target, entry);
   }
 }
@@ -242,7 +242,7 @@
     this->GiveBack(target, entry);
     return;
   }
-  if (entry.lease.VotedUntil() > now) {
+  if (entry.lease.MajorityUntil() > now) {
     this->AskVotes(target, entry);
     this->AskParts(target, entry);
     return;
@@ -269,7 +269,7 @@
 }
 
 void LeaseHolder::AskOwnPart(const TargetId& target, const Entry& entry) {
-  if (entry.lease.OwnRank() >= TargetLease::kOwners) {
+  if (entry.lease.OwnRank() >= TargetLease::kMaxOwners) {
     return;
   }
   this->asks[this->options.self].push_back({.target = target,
--- a/knapweedroad/admission/target_admission.h
+++ b/knapweedroad/admission/target_admission.h
@@ -1,6 +1,6 @@
 // The queue and the slot count of one target at the host that holds its lease.
 //
-//   TargetAdmission admission({.slots = 2, .connections = 25});
+//   TargetAdmission admission({.slots = 2, .max_connections = 25});
 //   admission.SetShare({.slots = 2, .valid_until = expiry}, now);
 //   Run(admission.Submit(request, now));     // start, refuse or wait
 //   Run(admission.OnFinished(attempt, result, now));
@@ -37,41 +37,42 @@
     uint32_t slots = 1;
     uint32_t cold_slots = 1;
     // What the target accepts from all hosts together.
-    uint32_t connections = 2;
+    uint32_t max_connections = 2;
     // Attempts that may wait.
     uint32_t max_queue = 64;
     // Of the time that an attempt has left, the part after which it is expected
     // to be done, or it is refused. With all of it, an overloaded queue holds
     // each attempt until it can just be done or just not.
-    double planned_part = 0.5;
+    double usable_time_fraction = 0.5;
     // No attempt runs longer: a later deadline is brought forward to this. The
     // next holder of the lease waits as long before it sends.
     Duration max_deadline = std::chrono::seconds(10);
     // How long after its deadline a target may still count an attempt that it
     // was never seen to end.
-    Duration end_margin = std::chrono::milliseconds(50);
+    Duration deadline_margin = std::chrono::milliseconds(50);
     // The guess while no answer has been measured.
     Duration initial_service_time = std::chrono::milliseconds(10);
     // After failures in a row, starts wait this long, doubled with each more.
-    Duration failure_pause = std::chrono::milliseconds(20);
-    Duration max_failure_pause = std::chrono::seconds(1);
+    Duration failure_backoff = std::chrono::milliseconds(20);
+    Duration max_failure_backoff = std::chrono::seconds(1);
     // Connections lost or refused in a row that are evidence of a restart.
-    uint32_t failures_to_fall = 1;
-    // For a host that has no lease and finds its limit alone (`AdmissionMode`).
-    bool adaptive = false;
+    uint32_t failures_before_reset = 1;
+    // For a host that has no lease and finds its limit alone
+    // (`AdmissionMode`).
+    bool use_adaptive_limit = false;
     // `slots` and `cold_slots` in here are overwritten by the ones above.
     ColdStartRamp::Options ramp = {};
   };
 
   struct Counters {
     uint64_t started = 0;
-    uint64_t finished_ok = 0;
+    uint64_t succeeded = 0;
     uint64_t sheds = 0;
     uint64_t lost_connections = 0;
-    uint64_t falls_to_cold = 0;
+    uint64_t cold_resets = 0;
     // Attempts above the cold limit at the moment of a fall, summed: sent
     // before any evidence of cold existed.
-    uint64_t above_cold_at_fall = 0;
+    uint64_t excess_at_cold_reset = 0;
     // Slots given back by passed time instead of by the target's word.
     uint64_t expired_slots = 0;
     // By `RefusalKind`.
@@ -137,7 +138,7 @@
   const Counters& counters() const { return this->counts; }
 
  private:
-  struct Running {
+  struct RunningAttempt {
     TimePoint deadline{};
     uint64_t epoch = 0;
     uint64_t incarnation = 0;
@@ -146,47 +147,50 @@
     bool cancel_sent = false;
   };
 
-  bool Blocked(TimePoint now, RefusalKind& kind) const;
-  bool FitsBehindQueue(const AdmissionRequest& request, TimePoint now) const;
-  Duration MissesBy(const AdmissionRequest& request, TimePoint now) const;
-  Duration WaitFor(uint32_t positions, TimePoint now) const;
+  bool BlocksNewWork(TimePoint now, RefusalKind& kind) const;
+  bool FitsBeforeDeadline(const AdmissionRequest& request, TimePoint now) const;
+  Duration ExpectedOverrun(const AdmissionRequest& request,
+                           TimePoint now) const;
+  Duration ExpectedWait(uint32_t slots_needed, TimePoint now) const;
   Duration RetryAfter(const AdmissionRequest& request, TimePoint now) const;
   void Refuse(const AdmissionRequest& request,
               RefusalKind kind,
               Duration retry_after,
               AdmissionActions& actions);
   void Abandon(std::string_view attempt,
-               Running& running,
+               RunningAttempt& running,
                AdmissionActions& actions);
-  void ReleaseEnded(TimePoint now);
-  void RefuseHopeless(TimePoint now, AdmissionActions& actions);
-  TimePoint HopelessAt(const AdmissionRequest& request,
-                       uint32_t ahead,
-                       TimePoint now) const;
-  void StartWaiting(TimePoint now, AdmissionActions& actions);
-  void PlanWake(TimePoint now);
-  AdmissionActions Settle(TimePoint now, AdmissionActions actions);
-  void CountFall();
-  void Fall(TimePoint now);
-  void OnState(TargetState state, TimePoint now);
-  void OnLostConnection(TimePoint now);
-  void Pause(TimePoint now);
-  void OnClean(const Running& running, Duration latency, TimePoint now);
+  void ReleaseExpired(TimePoint now);
+  void RefuseUnmeetable(TimePoint now, AdmissionActions& actions);
+  TimePoint RefusalTime(const AdmissionRequest& request,
+                        uint32_t ahead,
+                        TimePoint now) const;
+  void StartQueued(TimePoint now, AdmissionActions& actions);
+  void UpdateNextWake(TimePoint now);
+  AdmissionActions ProcessQueue(TimePoint now, AdmissionActions actions);
+  void CountColdReset();
+  void ResetToCold(TimePoint now);
+  void ApplyTargetState(TargetState state, TimePoint now);
+  void OnConnectionFailure(TimePoint now);
+  void BackOff(TimePoint now);
+  void OnSuccess(const RunningAttempt& running,
+                 Duration latency,
+                 TimePoint now);
 
   Options options;
   ColdStartRamp ramp;
-  AdaptiveLimit alone;
+  AdaptiveLimit adaptive_limit;
   FairQueue queue;
-  std::map<std::string, Running, std::less<>> running;
+  std::map<std::string, RunningAttempt, std::less<>> running;
   TargetShare share;
   bool accepting = true;
   bool target_leaving = false;
-  bool reported = false;
+  bool has_report = false;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  Duration service_time;
-  uint32_t failures_in_row = 0;
-  TimePoint paused_until = TimePoint{};
+  Duration mean_service_time;
+  uint32_t consecutive_failures = 0;
+  TimePoint backoff_until = TimePoint{};
   TimePoint next_wake = TimePoint::max();
   Counters counts;
 };
--- a/knapweedroad/admission/target_admission_queue.cc
+++ b/knapweedroad/admission/target_admission_queue.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool TargetAdmission::Blocked(TimePoint now, RefusalKind& kind) const {
+bool TargetAdmission::BlocksNewWork(TimePoint now, RefusalKind& kind) const {
   if (this->target_leaving) {
     kind = RefusalKind::kTargetLeaving;
     return true;
@@ -30,54 +30,57 @@
   return false;
 }
 
-bool TargetAdmission::FitsBehindQueue(const AdmissionRequest& request,
-                                      TimePoint now) const {
-  return this->MissesBy(request, now) <= Duration::zero();
+bool TargetAdmission::FitsBeforeDeadline(const AdmissionRequest& request,
+                                         TimePoint now) const {
+  return this->ExpectedOverrun(request, now) <= Duration::zero();
 }
 
-// By how much it would be done after the planned part of its time; less than
-// zero where it fits.
-Duration TargetAdmission::MissesBy(const AdmissionRequest& request,
-                                   TimePoint now) const {
+// By how much it would be done after the planned part of its time; less
+// than zero where it fits.
+Duration TargetAdmission::ExpectedOverrun(const AdmissionRequest& request,
+                                          TimePoint now) const {
   const uint32_t ahead = this->queue.PositionOf(request);
-  const Duration needed = this->WaitFor(ahead + 1, now) + this->ramp.baseline();
-  const auto left = static_cast<double>((request.deadline - now).count());
-  const double planned = left * this->options.planned_part;
-  return needed - Duration(static_cast<Duration::rep>(planned));
+  const Duration needed =
+      this->ExpectedWait(ahead + 1, now) + this->ramp.baseline();
+  const auto time_left = static_cast<double>((request.deadline - now).count());
+  const double usable_time = time_left * this->options.usable_time_fraction;
+  return needed - Duration(static_cast<Duration::rep>(usable_time));
 }
 
 // The time in which so many slots come free, at the mean service time.
-Duration TargetAdmission::WaitFor(uint32_t positions, TimePoint now) const {
-  const uint32_t servers = std::max<uint32_t>(this->limit(now), 1);
-  const Duration service = this->service_time * positions / servers;
-  const Duration pause =
-      std::max<Duration>(this->paused_until - now, Duration::zero());
-  return service + pause;
+Duration TargetAdmission::ExpectedWait(uint32_t slots_needed,
+                                       TimePoint now) const {
+  const uint32_t slots = std::max<uint32_t>(this->limit(now), 1);
+  const Duration service_time = this->mean_service_time * slots_needed / slots;
+  const Duration backoff =
+      std::max<Duration>(this->backoff_until - now, Duration::zero());
+  return service_time + backoff;
 }
 
 // After this long, the same request would fit if nothing else came.
 Duration TargetAdmission::RetryAfter(const AdmissionRequest& request,
                                      TimePoint now) const {
-  return std::max(this->MissesBy(request, now), kMinRetryAfter);
+  return std::max(this->ExpectedOverrun(request, now), kMinRetryAfter);
 }
 
 // Gives what waits its answer as soon as it is certain, instead of near its
 // deadline: all of it when no more may be sent, else what can't be done.
-void TargetAdmission::RefuseHopeless(TimePoint now, AdmissionActions& actions) {
+void TargetAdmission::RefuseUnmeetable(TimePoint now,
+                                       AdmissionActions& actions) {
   RefusalKind kind = RefusalKind::kDeadline;
-  if (this->Blocked(now, kind)) {
+  if (this->BlocksNewWork(now, kind)) {
     for (const AdmissionRequest& request : this->queue.Clear()) {
       this->Refuse(request, kind, Duration::zero(), actions);
     }
     return;
   }
-  std::vector<std::string> hopeless;
+  std::vector<std::string> unmeetable;
   this->queue.ForEach([&](const AdmissionRequest& request, uint32_t ahead) {
-    if (now >= this->HopelessAt(request, ahead, now)) {
-      hopeless.push_back(request.attempt);
+    if (now >= this->RefusalTime(request, ahead, now)) {
+      unmeetable.push_back(request.attempt);
     }
   });
-  for (const std::string& attempt : hopeless) {
+  for (const std::string& attempt : unmeetable) {
     const auto request = this->queue.Remove(attempt);
     this->Refuse(*request, RefusalKind::kDeadline,
                  this->RetryAfter(*request, now), actions);
@@ -87,19 +90,20 @@
 // On an idle target the next one is tried up to its very deadline, whatever
 // was measured: estimates that nothing can correct any more, because they are
 // above every deadline, would refuse all work for ever.
-TimePoint TargetAdmission::HopelessAt(const AdmissionRequest& request,
-                                      uint32_t ahead,
-                                      TimePoint now) const {
+TimePoint TargetAdmission::RefusalTime(const AdmissionRequest& request,
+                                       uint32_t ahead,
+                                       TimePoint now) const {
   if (ahead == 0 && this->running.empty()) {
     return request.deadline;
   }
   // The one that runs before it may be about to end: `ahead`, not one more.
-  const Duration needed = this->WaitFor(ahead, now) + this->ramp.baseline();
+  const Duration needed =
+      this->ExpectedWait(ahead, now) + this->ramp.baseline();
   return request.deadline - needed + Duration(1);
 }
 
-void TargetAdmission::StartWaiting(TimePoint now, AdmissionActions& actions) {
-  if (now < this->paused_until) {
+void TargetAdmission::StartQueued(TimePoint now, AdmissionActions& actions) {
+  if (now < this->backoff_until) {
     return;
   }
   while (this->in_flight() < this->limit(now)) {
@@ -108,25 +112,25 @@
       return;
     }
     this->running.emplace(request->attempt,
-                          Running{.deadline = request->deadline,
-                                  .epoch = this->ramp.epoch(),
-                                  .incarnation = this->incarnation});
+                          RunningAttempt{.deadline = request->deadline,
+                                         .epoch = this->ramp.epoch(),
+                                         .incarnation = this->incarnation});
     ++this->counts.started;
     actions.emplace_back(StartAttempt{.attempt = request->attempt,
                                       .deadline = request->deadline});
   }
 }
 
-void TargetAdmission::PlanWake(TimePoint now) {
+void TargetAdmission::UpdateNextWake(TimePoint now) {
   TimePoint wake = TimePoint::max();
   for (const auto& [attempt, running] : this->running) {
-    wake = std::min(wake, running.deadline + this->options.end_margin);
+    wake = std::min(wake, running.deadline + this->options.deadline_margin);
   }
   this->queue.ForEach([&](const AdmissionRequest& request, uint32_t ahead) {
-    wake = std::min(wake, this->HopelessAt(request, ahead, now));
+    wake = std::min(wake, this->RefusalTime(request, ahead, now));
   });
-  if (!this->queue.empty() && this->paused_until > now) {
-    wake = std::min(wake, this->paused_until);
+  if (!this->queue.empty() && this->backoff_until > now) {
+    wake = std::min(wake, this->backoff_until);
   }
   if (!this->queue.empty()) {
     wake = std::min(wake, this->share.valid_until);
--- a/knapweedroad/admission/target_admission_test.cc
+++ b/knapweedroad/admission/target_admission_test.cc
@@ -14,12 +14,12 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{seconds(100)};
-constexpr AttemptResult kFine{.status = AttemptStatus::kOk,
-                              .latency = milliseconds(20)};
+constexpr AttemptResult kOkResult{.status = AttemptStatus::kOk,
+                                  .latency = milliseconds(20)};
 
-AdmissionRequest Request(std::string attempt,
-                         TimePoint deadline,
-                         AttemptKind kind = AttemptKind::kFirstTry) {
+AdmissionRequest MakeRequest(std::string attempt,
+                             TimePoint deadline,
+                             AttemptKind kind = AttemptKind::kFirstTry) {
   return {.attempt = std::move(attempt),
           .tenant = TenantId("t"),
           .request_class = "normal",
@@ -27,14 +27,14 @@
           .kind = kind};
 }
 
-uint32_t Starts(const AdmissionActions& actions) {
+uint32_t CountStarts(const AdmissionActions& actions) {
   return static_cast<uint32_t>(
       std::count_if(actions.begin(), actions.end(), [](const auto& action) {
         return std::holds_alternative<StartAttempt>(action);
       }));
 }
 
-const RefuseAttempt* Refusal(const AdmissionActions& actions) {
+const RefuseAttempt* FindRefusal(const AdmissionActions& actions) {
   for (const AdmissionAction& action : actions) {
     if (const auto* refusal = std::get_if<RefuseAttempt>(&action)) {
       return refusal;
@@ -44,17 +44,17 @@
 }
 
 // A target of two slots, warmed by answers, under a lease of both.
-TargetAdmission WarmTarget(TimePoint& now, double planned_part = 0.5) {
+TargetAdmission WarmTarget(TimePoint& now, double usable_time_fraction = 0.5) {
   TargetAdmission admission({.slots = 2,
                              .cold_slots = 1,
-                             .connections = 25,
-                             .planned_part = planned_part});
+                             .max_connections = 25,
+                             .usable_time_fraction = usable_time_fraction});
   admission.SetShare({.slots = 2}, now);
   admission.OnReport({.incarnation = 4, .state = TargetState::kReady}, now);
   while (admission.limit(now) < 2) {
     now += milliseconds(40);
-    admission.Submit(Request("warm-up", now + seconds(1)), now);
-    admission.OnFinished("warm-up", kFine, now);
+    admission.Submit(MakeRequest("warm-up", now + seconds(1)), now);
+    admission.OnFinished("warm-up", kOkResult, now);
   }
   return admission;
 }
@@ -62,17 +62,19 @@
 Test(TargetAdmission, NothingStartsWithoutAShare) {
   TargetAdmission admission({.slots = 2});
   const auto actions =
-      admission.Submit(Request("a", kStart + seconds(1)), kStart);
-  cr_assert_eq(Starts(actions), 0u);
-  cr_assert(Refusal(actions)->kind == RefusalKind::kNoLease);
+      admission.Submit(MakeRequest("a", kStart + seconds(1)), kStart);
+  cr_assert_eq(CountStarts(actions), 0u);
+  cr_assert(FindRefusal(actions)->kind == RefusalKind::kNoLease);
 }
 
 Test(TargetAdmission, ANewTargetGetsNoMoreThanItsColdLimit) {
   TargetAdmission admission({.slots = 2, .cold_slots = 1});
   admission.SetShare({.slots = 2}, kStart);
   const TimePoint deadline = kStart + seconds(1);
-  cr_assert_eq(Starts(admission.Submit(Request("a", deadline), kStart)), 1u);
-  cr_assert_eq(Starts(admission.Submit(Request("b", deadline), kStart)), 0u);
+  cr_assert_eq(
+      CountStarts(admission.Submit(MakeRequest("a", deadline), kStart)), 1u);
+  cr_assert_eq(
+      CountStarts(admission.Submit(MakeRequest("b", deadline), kStart)), 0u);
   cr_assert_eq(admission.in_flight(), 1u);
 }
 
@@ -90,7 +92,7 @@
 Test(TargetAdmission, AShedTakesTheTargetBackToItsColdLimit) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  admission.Submit(Request("a", now + seconds(1)), now);
+  admission.Submit(MakeRequest("a", now + seconds(1)), now);
   admission.OnFinished("a", {.status = AttemptStatus::kShed}, now);
   cr_assert_eq(admission.limit(now), 1u);
 }
@@ -98,8 +100,8 @@
 Test(TargetAdmission, AnAnswerThatSaysColdIsBelievedAtOnce) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  admission.Submit(Request("a", now + seconds(1)), now);
-  AttemptResult result = kFine;
+  admission.Submit(MakeRequest("a", now + seconds(1)), now);
+  AttemptResult result = kOkResult;
   result.state = TargetState::kCold;
   admission.OnFinished("a", result, now);
   cr_assert_eq(admission.limit(now), 1u);
@@ -120,11 +122,11 @@
 Test(TargetAdmission, ALostOrRefusedConnectionIsARestart) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  admission.Submit(Request("a", now + seconds(1)), now);
+  admission.Submit(MakeRequest("a", now + seconds(1)), now);
   admission.OnFinished("a", {.status = AttemptStatus::kConnectionLost}, now);
   cr_assert_eq(admission.limit(now), 1u);
   TargetAdmission refused = WarmTarget(now);
-  refused.Submit(Request("b", now + seconds(1)), now);
+  refused.Submit(MakeRequest("b", now + seconds(1)), now);
   refused.OnFinished("b", {.status = AttemptStatus::kConnectFailed}, now);
   cr_assert_eq(refused.limit(now), 1u);
 }
@@ -135,22 +137,22 @@
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + seconds(1);
-  admission.Submit(Request("a", deadline), now);
-  admission.Submit(Request("b", deadline), now);
-  admission.Submit(Request("c", deadline), now);
+  admission.Submit(MakeRequest("a", deadline), now);
+  admission.Submit(MakeRequest("b", deadline), now);
+  admission.Submit(MakeRequest("c", deadline), now);
   const AttemptResult refused{.status = AttemptStatus::kConnectFailed};
   admission.OnFinished("a", refused, now);
-  cr_assert_eq(Starts(admission.OnFinished("b", refused, now)), 0u);
+  cr_assert_eq(CountStarts(admission.OnFinished("b", refused, now)), 0u);
   cr_assert_eq(admission.queued(), 1u);
-  cr_assert_eq(Starts(admission.Tick(admission.NextWake())), 1u);
+  cr_assert_eq(CountStarts(admission.Tick(admission.NextWake())), 1u);
 }
 
 Test(TargetAdmission, ATargetOfAZoneThatComesBackIsCold) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.SetAcceptingNew(false, now);
-  const auto out = admission.Submit(Request("a", now + seconds(1)), now);
-  cr_assert(Refusal(out)->kind == RefusalKind::kNotAccepting);
+  const auto out = admission.Submit(MakeRequest("a", now + seconds(1)), now);
+  cr_assert(FindRefusal(out)->kind == RefusalKind::kNotAccepting);
   admission.SetAcceptingNew(true, now);
   cr_assert_eq(admission.limit(now), 1u);
 }
@@ -162,22 +164,22 @@
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + seconds(1);
-  admission.Submit(Request("a", deadline), now);
-  admission.Submit(Request("b", deadline), now);
-  admission.Submit(Request("c", deadline), now);
+  admission.Submit(MakeRequest("a", deadline), now);
+  admission.Submit(MakeRequest("b", deadline), now);
+  admission.Submit(MakeRequest("c", deadline), now);
   const AdmissionActions cancel = admission.Cancel("a", now);
-  cr_assert_eq(Starts(cancel), 0u);
+  cr_assert_eq(CountStarts(cancel), 0u);
   cr_assert(std::holds_alternative<CancelRunning>(cancel.at(0)));
   const auto confirmed =
       admission.OnFinished("a", {.status = AttemptStatus::kCancelled}, now);
-  cr_assert_eq(Starts(confirmed), 1u);
+  cr_assert_eq(CountStarts(confirmed), 1u);
 }
 
 Test(TargetAdmission, ASlotOfUnknownFateComesBackAfterDeadlineAndMargin) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + milliseconds(200);
-  admission.Submit(Request("a", deadline), now);
+  admission.Submit(MakeRequest("a", deadline), now);
   admission.OnFinished("a", {.status = AttemptStatus::kTimeout}, now);
   admission.Tick(deadline);
   cr_assert_eq(admission.in_flight(), 1u);
@@ -194,8 +196,8 @@
   AdmissionActions actions;
   uint32_t accepted = 0;
   for (int i = 0; i < 50 && refusal == nullptr; ++i) {
-    actions = admission.Submit(Request(std::to_string(i), deadline), now);
-    refusal = Refusal(actions);
+    actions = admission.Submit(MakeRequest(std::to_string(i), deadline), now);
+    refusal = FindRefusal(actions);
     accepted += refusal == nullptr ? 1 : 0;
   }
   // Two run; in 100 ms two slots end about ten more of 20 ms.
@@ -214,8 +216,8 @@
   uint32_t accepted = 0;
   for (int i = 0; i < 50; ++i) {
     const auto actions =
-        admission.Submit(Request(std::to_string(i), deadline), now);
-    accepted += Refusal(actions) == nullptr ? 1 : 0;
+        admission.Submit(MakeRequest(std::to_string(i), deadline), now);
+    accepted += FindRefusal(actions) == nullptr ? 1 : 0;
   }
   cr_assert_geq(accepted, 6u);
   cr_assert_leq(accepted, 14u);
@@ -225,26 +227,26 @@
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint far = now + seconds(5);
-  admission.Submit(Request("a", far), now);
-  admission.Submit(Request("b", far), now);
-  admission.Submit(Request("c", now + milliseconds(300)), now);
+  admission.Submit(MakeRequest("a", far), now);
+  admission.Submit(MakeRequest("b", far), now);
+  admission.Submit(MakeRequest("c", now + milliseconds(300)), now);
   cr_assert_eq(admission.queued(), 1u);
   now += milliseconds(301);
-  const auto actions = admission.OnFinished("a", kFine, now);
-  cr_assert_eq(Starts(actions), 0u);
-  cr_assert(Refusal(actions)->kind == RefusalKind::kDeadline);
+  const auto actions = admission.OnFinished("a", kOkResult, now);
+  cr_assert_eq(CountStarts(actions), 0u);
+  cr_assert(FindRefusal(actions)->kind == RefusalKind::kDeadline);
 }
 
 Test(TargetAdmission, AWaitingAttemptIsRefusedByTimeAlone) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  admission.Submit(Request("a", now + seconds(5)), now);
-  admission.Submit(Request("b", now + seconds(5)), now);
+  admission.Submit(MakeRequest("a", now + seconds(5)), now);
+  admission.Submit(MakeRequest("b", now + seconds(5)), now);
   const TimePoint deadline = now + milliseconds(300);
-  admission.Submit(Request("c", deadline), now);
+  admission.Submit(MakeRequest("c", deadline), now);
   cr_assert(admission.NextWake() < deadline);
   const auto actions = admission.Tick(admission.NextWake());
-  cr_assert_eq(Refusal(actions)->attempt, "c");
+  cr_assert_eq(FindRefusal(actions)->attempt, "c");
 }
 
 // A target was so slow for a while that the measured latency is above every
@@ -254,38 +256,39 @@
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   for (int i = 0; i < 500; ++i) {
-    admission.Submit(Request("slow", now + seconds(5)), now);
+    admission.Submit(MakeRequest("slow", now + seconds(5)), now);
     now += seconds(2);
     admission.OnFinished(
         "slow", {.status = AttemptStatus::kOk, .latency = seconds(2)}, now);
   }
   const TimePoint deadline = now + milliseconds(100);
-  cr_assert_eq(Starts(admission.Submit(Request("a", deadline), now)), 1u);
+  cr_assert_eq(CountStarts(admission.Submit(MakeRequest("a", deadline), now)),
+               1u);
 }
 
 Test(TargetAdmission, AHedgeNeverWaits) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint far = now + seconds(5);
-  admission.Submit(Request("a", far), now);
+  admission.Submit(MakeRequest("a", far), now);
   const auto free =
-      admission.Submit(Request("h1", far, AttemptKind::kHedge), now);
-  cr_assert_eq(Starts(free), 1u);
+      admission.Submit(MakeRequest("h1", far, AttemptKind::kHedge), now);
+  cr_assert_eq(CountStarts(free), 1u);
   const auto busy =
-      admission.Submit(Request("h2", far, AttemptKind::kHedge), now);
-  cr_assert(Refusal(busy)->kind == RefusalKind::kNoFreeSlot);
+      admission.Submit(MakeRequest("h2", far, AttemptKind::kHedge), now);
+  cr_assert(FindRefusal(busy)->kind == RefusalKind::kNoFreeSlot);
 }
 
 Test(TargetAdmission, ALeavingTargetGetsNothingMoreUntilItStartsAgain) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  admission.Submit(Request("a", now + seconds(5)), now);
-  admission.Submit(Request("b", now + seconds(5)), now);
-  admission.Submit(Request("c", now + seconds(5)), now);
+  admission.Submit(MakeRequest("a", now + seconds(5)), now);
+  admission.Submit(MakeRequest("b", now + seconds(5)), now);
+  admission.Submit(MakeRequest("c", now + seconds(5)), now);
   TargetReport report{.incarnation = 4, .sequence = 9};
   report.state = TargetState::kLeaving;
   const auto actions = admission.OnReport(report, now);
-  cr_assert_eq(Refusal(actions)->attempt, "c");
+  cr_assert_eq(FindRefusal(actions)->attempt, "c");
   cr_assert_eq(admission.in_flight(), 2u);
   // An older report that comes late takes nothing back.
   report.sequence = 8;
@@ -318,11 +321,12 @@
   TargetAdmission admission = WarmTarget(now);
   const TimePoint expiry = now + milliseconds(500);
   admission.SetShare({.slots = 2, .valid_until = expiry}, now);
-  admission.Submit(Request("a", now + seconds(5)), now);
+  admission.Submit(MakeRequest("a", now + seconds(5)), now);
   cr_assert(admission.MaySend("a", now));
   cr_assert(!admission.MaySend("a", expiry));
-  const auto late = admission.Submit(Request("b", now + seconds(5)), expiry);
-  cr_assert_eq(Starts(late), 0u);
+  const auto late =
+      admission.Submit(MakeRequest("b", now + seconds(5)), expiry);
+  cr_assert_eq(CountStarts(late), 0u);
 }
 
 Test(TargetAdmission, AColdTargetGetsNothingFromAHostThatMayNotWarmIt) {
@@ -337,9 +341,10 @@
 Test(TargetAdmission, ARepeatedRequestIsNotRunTwice) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
-  cr_assert_eq(Starts(admission.Submit(Request("a", now + seconds(1)), now)),
-               1u);
-  cr_assert(admission.Submit(Request("a", now + seconds(1)), now).empty());
+  cr_assert_eq(
+      CountStarts(admission.Submit(MakeRequest("a", now + seconds(1)), now)),
+      1u);
+  cr_assert(admission.Submit(MakeRequest("a", now + seconds(1)), now).empty());
 }
 
 // Random events at every step; the target's own count (attempts begun and not
@@ -376,14 +381,14 @@
           if (!on_target.empty()) {
             const std::string ended = on_target.front();
             on_target.erase(on_target.begin());
-            AttemptResult result = kFine;
+            AttemptResult result = kOkResult;
             result.status =
                 random() % 10 == 0 ? AttemptStatus::kShed : AttemptStatus::kOk;
             actions = admission.OnFinished(ended, result, now);
           }
           break;
         default:
-          actions = admission.Submit(Request(name, now + seconds(60)), now);
+          actions = admission.Submit(MakeRequest(name, now + seconds(60)), now);
       }
       allowed = admission.limit(now);
       for (const AdmissionAction& action : actions) {
--- a/knapweedroad/admission/target_lease.cc
+++ b/knapweedroad/admission/target_lease.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // The latest moment that at least `needed` of them reach.
-TimePoint ReachedBy(std::vector<TimePoint> times, std::size_t needed) {
+TimePoint NthLatest(std::vector<TimePoint> times, std::size_t needed) {
   if (needed == 0 || times.size() < needed) {
     return TimePoint{};
   }
@@ -18,45 +18,45 @@
 
 }  // namespace
 
-void TargetLease::OnGrant(const HostId& from,
+void TargetLease::OnGrant(const HostId& grantor,
                           const LeaseGrant& grant,
-                          TimePoint sent,
+                          TimePoint sent_at,
                           TimePoint now,
                           const LeaseTiming& timing) {
   if (!grant.granted) {
     return;
   }
-  const Held held{.valid_until = sent + timing.HolderLength(),
-                  .usable_from = now + timing.Stretched(grant.wait)};
+  const GrantPeriod period{.valid_until = sent_at + timing.HolderLength(),
+                           .usable_from = now + timing.Stretched(grant.wait)};
   if (grant.part == LeasePart::kVote) {
-    this->votes[from] = held;
+    this->votes[grantor] = period;
     return;
   }
-  for (std::size_t rank = 0; rank < kOwners; ++rank) {
-    if (this->options.owners[rank] == from) {
-      this->parts[rank] = held;
+  for (std::size_t rank = 0; rank < kMaxOwners; ++rank) {
+    if (this->options.owners[rank] == grantor) {
+      this->parts[rank] = period;
     }
   }
-  if (from == this->options.self) {
-    this->wanted = grant.wanted;
+  if (grantor == this->options.self) {
+    this->own_part_wanted = grant.wanted;
   }
 }
 
 void TargetLease::Clear() {
   this->votes.clear();
   this->parts = {};
-  this->wanted = false;
+  this->own_part_wanted = false;
 }
 
-TimePoint TargetLease::VotedUntil() const {
-  std::vector<TimePoint> ends;
+TimePoint TargetLease::MajorityUntil() const {
+  std::vector<TimePoint> expiries;
   for (const auto& [host, vote] : this->votes) {
-    ends.push_back(vote.valid_until);
+    expiries.push_back(vote.valid_until);
   }
-  return ReachedBy(std::move(ends), this->options.votes_needed);
+  return NthLatest(std::move(expiries), this->options.votes_needed);
 }
 
-uint32_t TargetLease::SlotsOf(std::size_t rank) const {
+uint32_t TargetLease::SlotsOfOwner(std::size_t rank) const {
   const uint32_t slots = this->options.slots;
   if (this->options.owners[1].empty()) {
     return rank == 0 ? slots : 0;
@@ -72,10 +72,10 @@
 }
 
 TargetShare TargetLease::Share(TimePoint now,
-                               const StoppedFrom& stopped) const {
+                               const StoppedFrom& stopped_from) const {
   switch (this->phase) {
     case LeasePhase::kHeld:
-      return this->MajorityShare(now, stopped);
+      return this->MajorityShare(now, stopped_from);
     case LeasePhase::kIsolated:
       return this->IsolatedShare(now);
     default:
@@ -88,32 +88,32 @@
 // of a host that can't be reached stay free for it: it may be cut off, and use
 // them.
 TargetShare TargetLease::MajorityShare(TimePoint now,
-                                       const StoppedFrom& stopped) const {
+                                       const StoppedFrom& stopped_from) const {
   // Any majority that has waited for earlier work shares a member with the
   // majority that any earlier holder had.
-  std::vector<TimePoint> ends;
+  std::vector<TimePoint> expiries;
   for (const auto& [host, vote] : this->votes) {
     if (vote.usable_from <= now) {
-      ends.push_back(vote.valid_until);
+      expiries.push_back(vote.valid_until);
     }
   }
-  const TimePoint voted =
-      ReachedBy(std::move(ends), this->options.votes_needed);
-  if (voted <= now) {
+  const TimePoint majority_until =
+      NthLatest(std::move(expiries), this->options.votes_needed);
+  if (majority_until <= now) {
     return {};
   }
-  TargetShare share{.slots = 0, .valid_until = voted};
-  for (std::size_t rank = 0; rank < kOwners; ++rank) {
+  TargetShare share{.slots = 0, .valid_until = majority_until};
+  for (std::size_t rank = 0; rank < kMaxOwners; ++rank) {
     const HostId& owner = this->options.owners[rank];
-    const Held& part = this->parts[rank];
+    const GrantPeriod& part = this->parts[rank];
     if (owner.empty()) {
       continue;
     }
     if (part.valid_until > now && part.usable_from <= now) {
-      share.slots += this->SlotsOf(rank);
+      share.slots += this->SlotsOfOwner(rank);
       share.valid_until = std::min(share.valid_until, part.valid_until);
-    } else if (stopped(owner) <= now) {
-      share.slots += this->SlotsOf(rank);
+    } else if (stopped_from(owner) <= now) {
+      share.slots += this->SlotsOfOwner(rank);
     }
   }
   return share.slots > 0 ? share : TargetShare{};
@@ -121,14 +121,14 @@
 
 TargetShare TargetLease::IsolatedShare(TimePoint now) const {
   const std::size_t rank = this->OwnRank();
-  if (rank >= kOwners) {
+  if (rank >= kMaxOwners) {
     return {};
   }
-  const Held& part = this->parts[rank];
+  const GrantPeriod& part = this->parts[rank];
   if (part.valid_until <= now || part.usable_from > now) {
     return {};
   }
-  return {.slots = this->SlotsOf(rank),
+  return {.slots = this->SlotsOfOwner(rank),
           .cold_allowed = false,
           .valid_until = part.valid_until};
 }
--- a/knapweedroad/host/target_link.h
+++ b/knapweedroad/host/target_link.h
@@ -1,7 +1,8 @@
 // One target at the host that holds its lease: admission, connections, sends.
 //
-//   TargetLink link(runtime, {.target = id, .endpoint = address,
-//                             .admission = {.slots = 2, .connections = 25}});
+//   TargetLink link(runtime,
+//                   {.target = id, .endpoint = address,
+//                    .admission = {.slots = 2, .max_connections = 25}});
 //   AttemptReply reply = link.Run(call, deadline);   // blocks the fiber
 
 #ifndef KNAPWEEDROAD_HOST_TARGET_LINK_H_
--- a/knapweedroad/host/target_table.cc
+++ b/knapweedroad/host/target_table.cc
@@ -42,11 +42,12 @@
     }
     for (const ServiceConfig& service : front.services) {
       if (service.name == service_name) {
-        TargetAdmission::Options options{.slots = service.slots,
-                                         .cold_slots = service.cold_slots,
-                                         .connections = service.connections};
-        options.max_deadline =
-            std::min(front.max_deadline, kMaxWorkTime - options.end_margin);
+        TargetAdmission::Options options{
+            .slots = service.slots,
+            .cold_slots = service.cold_slots,
+            .max_connections = service.connections};
+        options.max_deadline = std::min(front.max_deadline,
+                                        kMaxWorkTime - options.deadline_margin);
         return options;
       }
     }
@@ -63,7 +64,7 @@
         this->OptionsFor(entry.report.front, entry.report.service);
     if (options && (options->slots != entry.options.slots ||
                     options->cold_slots != entry.options.cold_slots ||
-                    options->connections != entry.options.connections ||
+                    options->max_connections != entry.options.max_connections ||
                     options->max_deadline != entry.options.max_deadline)) {
       entry.options = *options;
       entry.link->SetOptions(*options);
@@ -143,10 +144,10 @@
 std::vector<LeaseTarget> TargetTable::LeaseTargets() const {
   std::vector<LeaseTarget> targets;
   for (const auto& [target, entry] : this->entries) {
-    targets.push_back(
-        {.target = target,
-         .slots = entry.options.slots,
-         .work_time = entry.options.max_deadline + entry.options.end_margin});
+    targets.push_back({.target = target,
+                       .slots = entry.options.slots,
+                       .work_time = entry.options.max_deadline +
+                                    entry.options.deadline_margin});
   }
   return targets;
 }
@@ -159,7 +160,7 @@
     sums.attempts_started += counted.started;
     sums.sheds += counted.sheds;
     sums.lost_connections += counted.lost_connections;
-    sums.falls_to_cold += counted.falls_to_cold;
+    sums.falls_to_cold += counted.cold_resets;
     for (size_t kind = 0; kind < kRefusalKinds; ++kind) {
       sums.refused[kind] += counted.refused[kind];
     }
