--- a/knapweedroad/admission/adaptive_limit.cc
+++ b/knapweedroad/admission/adaptive_limit.cc
@@ -5,9 +5,8 @@
 namespace knapweedroad {
 namespace {
 
-// The lowest latency drifts up by this part with each answer, so that a
-// target that became slower for good isn't taken for an overloaded one for
-// ever.
+// With each answer, `min_latency` drifts up by one part in this many, so that a
+// target that became permanently slower isn't treated as overloaded forever.
 constexpr int kMinLatencyDriftDivisor = 1000;
 
 }  // namespace
--- a/knapweedroad/admission/admission_action.h
+++ b/knapweedroad/admission/admission_action.h
@@ -1,4 +1,4 @@
-// What `TargetAdmission` asks its surroundings to do.
+// The actions that `TargetAdmission` returns to its caller for execution.
 //
 //   for (const AdmissionAction& action : admission.Submit(request, now)) {
 //     std::visit(executor, action);
@@ -18,27 +18,29 @@
 
 namespace knapweedroad {
 
-// Why an attempt was turned away. Of each of them it is proven that the
-// attempt did not run.
+// The reason why an attempt was refused. An attempt that was refused for any of
+// these reasons was never sent to the target.
 enum class RefusalKind : uint8_t {
-  // It can't be done by its deadline behind what already waits.
+  // It can't finish in time behind the attempts that are already queued.
   kOverloaded,
-  // The same, and its tenant already has more than its share waiting.
+  // The queue has no room for it in time (as `kOverloaded`) or is full, and its
+  // tenant has more than its weighted share of the queued attempts.
   kOverShare,
-  // Its deadline passed, or came too near, before it was sent.
+  // Its deadline passed, or became too close to meet, before it was sent.
   kDeadline,
-  // A hedge that found no free slot.
+  // It is a hedge, and no slot was free.
   kNoFreeSlot,
-  // The target leaves.
+  // The target reported that it is leaving.
   kTargetLeaving,
-  // No new work is accepted for this target (zone out, host leaving).
+  // This host accepts no new work for the target: the zone was taken out of
+  // service, or the host is shutting down.
   kNotAccepting,
-  // This host has no lease, or only one that bears no slots now.
+  // This host has no valid lease, or its lease allows no requests now.
   kNoLease,
 };
 inline constexpr std::size_t kRefusalKinds = 7;
 
-// A word for logs and metric labels.
+// Returns the name of `kind` in logs and metric labels.
 constexpr std::string_view ToString(RefusalKind kind) {
   constexpr std::string_view kNames[kRefusalKinds] = {
       "overloaded",     "over_share",    "deadline", "no_free_slot",
@@ -46,25 +48,25 @@
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-// Send it now. The deadline may be nearer than the one asked for, and is the
-// one that the target must be told.
+// Send the attempt to the target now. `deadline` may be earlier than the one
+// requested; the request to the target must carry this one.
 struct StartAttempt {
   std::string attempt;
   TimePoint deadline{};
   friend bool operator==(const StartAttempt&, const StartAttempt&) = default;
 };
 
-// Answer it now as not run.
+// Answer the attempt now as refused without having run.
 struct RefuseAttempt {
   std::string attempt;
   RefusalKind kind = RefusalKind::kOverloaded;
-  // When the same request may fit here; zero where another target is the
-  // better hope.
+  // How long the caller should wait before it sends the same request to this
+  // target again. Zero: try another target instead.
   Duration retry_after{};
   friend bool operator==(const RefuseAttempt&, const RefuseAttempt&) = default;
 };
 
-// Tell the target to give up on it, if it can be told.
+// Send the target a cancellation of the running attempt, if it can be reached.
 struct CancelRunning {
   std::string attempt;
   friend bool operator==(const CancelRunning&, const CancelRunning&) = default;
--- a/knapweedroad/admission/admission_mode.h
+++ b/knapweedroad/admission/admission_mode.h
@@ -1,4 +1,4 @@
-// The ways of keeping many hosts from overloading one target.
+// The methods that limit the combined load of many hosts on one target.
 //
 //   const TargetShare share = SplitShare(target, self, hosts, slots);
 
@@ -15,26 +15,29 @@
 
 namespace knapweedroad {
 
-// `kLease` is the way of the product. The others are there to be measured
-// against it: neither keeps a target within what it bears.
+// Production hosts use `kLease`. The other modes exist for comparison in
+// benchmarks; neither of them keeps the load within the target's capacity.
 enum class AdmissionMode : uint8_t {
-  // One host talks to the target, and counts exactly.
+  // Only the host that holds the target's lease sends to it, so its count of
+  // running requests is exact.
   kLease,
-  // Each host alone, with an `AdaptiveLimit` (`TargetAdmission::Options`'
-  // `adaptive`) and a share of all slots.
+  // Each host may use all slots and limits itself with its own `AdaptiveLimit`
+  // (`TargetAdmission::Options::use_adaptive_limit`).
   kDirectAdaptive,
-  // Each host alone, with its part of the slots for good: `SplitShare`.
+  // Each host has a fixed part of the slots; see `SplitShare()`.
   kSplitSlots,
 };
 
-// "lease", "direct" or "split"; nothing for any other word.
+// Returns the mode named "lease", "direct" or "split", or nullopt for any other
+// name. `ToString()` returns these names.
 std::optional<AdmissionMode> ParseAdmissionMode(std::string_view name);
 std::string_view ToString(AdmissionMode mode);
 
-// This host's part of a target's slots where they are split evenly. The
-// rest of the division goes to the first hosts of the target's rendezvous
-// order. Where the slots are fewer than the hosts, the others have none and
-// can't use the target at all.
+// Returns the share of host `self` when the target's slots are split evenly
+// over `hosts`. The remainder of the division goes, one slot each, to the first
+// hosts in the target's rendezvous order. With fewer slots than hosts, the
+// remaining hosts get no slots and can't use the target. Returns a share
+// without slots if `self` isn't in `hosts`. The share doesn't expire.
 TargetShare SplitShare(const TargetId& target,
                        const HostId& self,
                        std::span<const HostId> hosts,
--- a/knapweedroad/admission/admission_mode_test.cc
+++ b/knapweedroad/admission/admission_mode_test.cc
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Test(AdmissionMode, ASplitGivesOutAllSlotsAndNoMore) {
+Test(AdmissionMode, SplitSharesAddUpToTheSlots) {
   std::vector<HostId> hosts;
   hosts.reserve(9);
   for (int i = 0; i < 9; ++i) {
@@ -28,12 +28,12 @@
   }
 }
 
-Test(AdmissionMode, ReadsItsOwnWords) {
+Test(AdmissionMode, ParsesModeNames) {
   cr_assert(ParseAdmissionMode("split") == AdmissionMode::kSplitSlots);
   cr_assert(!ParseAdmissionMode("none").has_value());
 }
 
-Test(AdaptiveLimit, RisesOnQuickAnswersAndFallsOnASign) {
+Test(AdaptiveLimit, RisesOnLowLatencyAndFallsOnOverload) {
   AdaptiveLimit limit({.max_limit = 6});
   TimePoint now{seconds(1)};
   for (int i = 0; i < 100; ++i) {
@@ -43,7 +43,8 @@
   cr_assert_eq(limit.limit(), 6u);
   limit.OnOverload(now);
   limit.OnOverload(now);
-  cr_assert_eq(limit.limit(), 4u, "one burst, one sign");
+  cr_assert_eq(limit.limit(), 4u,
+               "a burst of overload signals lowers the limit once");
   for (int i = 0; i < 100; ++i) {
     now += milliseconds(50);
     limit.OnOverload(now);
--- a/knapweedroad/admission/admission_request.h
+++ b/knapweedroad/admission/admission_request.h
@@ -1,4 +1,5 @@
-// What asks for one slot of one target.
+// A request to send one attempt to one target, passed to
+// `TargetAdmission::Submit()`.
 //
 //   AdmissionRequest{.attempt = "q-17.3", .tenant = TenantId("vrt"),
 //                    .request_class = "desk", .deadline = now + 300ms}
@@ -14,20 +15,21 @@
 
 namespace knapweedroad {
 
-// A hedge only ever takes a slot that is free at that moment; it never waits.
+// `kHedge` is sent while an earlier attempt is still running. It takes a slot
+// that is free at once or is refused; it is never queued.
 enum class AttemptKind : uint8_t { kFirstTry, kHedge, kRetry };
 
 struct AdmissionRequest {
-  // Unique to this attempt, over all hosts.
+  // The id of the attempt, unique across all hosts.
   std::string attempt;
   TenantId tenant;
   std::string request_class;
-  // Relative shares of the tenant, and of the class inside the tenant; zero
-  // counts as one.
+  // The weights in fair queuing: of the tenant among tenants, and of the class
+  // among the tenant's classes. Zero counts as one.
   uint32_t tenant_weight = 1;
   uint32_t class_weight = 1;
   FrontId front;
-  // By this host's clock.
+  // The time by which the attempt must be answered, by this host's clock.
   TimePoint deadline{};
   AttemptKind kind = AttemptKind::kFirstTry;
 };
--- a/knapweedroad/admission/attempt_result.h
+++ b/knapweedroad/admission/attempt_result.h
@@ -1,4 +1,4 @@
-// How an attempt at a target ended, as far as this host knows.
+// The outcome of an attempt at a target, as seen by the host that sent it.
 
 #ifndef KNAPWEEDROAD_ADMISSION_ATTEMPT_RESULT_H_
 #define KNAPWEEDROAD_ADMISSION_ATTEMPT_RESULT_H_
@@ -12,29 +12,32 @@
 namespace knapweedroad {
 
 enum class AttemptStatus : uint8_t {
-  // The target answered, the request ran.
+  // The target ran the request and answered.
   kOk,
-  // The target refused for want of a slot: it did not run.
+  // The target refused because it had no free slot. The request did not run.
   kShed,
-  // The target answered with any other error.
+  // The target answered with another error.
   kError,
-  // The target confirmed the cancellation of a running attempt.
+  // The target confirmed that it cancelled the running attempt.
   kCancelled,
-  // Nothing of it was ever written to a socket, for a reason of this host's.
+  // This host decided not to send the attempt; no byte of it was written.
   kNotSent,
-  // Nothing of it was written because no connection could be opened.
+  // No connection could be opened, so no byte of the attempt was written.
   kConnectFailed,
-  // The connection broke after the first byte: the target may be at it still.
+  // The connection broke after the first byte was written. The target may still
+  // be running the request.
   kConnectionLost,
-  // This host gave up waiting: the target may be at it still.
+  // This host stopped waiting for the answer. The target may still be running
+  // the request.
   kTimeout,
 };
 
 struct AttemptResult {
   AttemptStatus status = AttemptStatus::kOk;
-  // From the first byte written to the end of the answer; read for `kOk` only.
+  // The time from the first byte written to the end of the answer. Used for
+  // `kOk` only.
   Duration latency{};
-  // The state that the target named in this answer, if it did.
+  // The target's state as given in this answer, if the answer contains it.
   std::optional<TargetState> state = std::nullopt;
 };
 
--- a/knapweedroad/admission/cold_start_ramp.cc
+++ b/knapweedroad/admission/cold_start_ramp.cc
@@ -47,8 +47,9 @@
   this->window_start = now;
 }
 
-// A whole window far above the baseline is a target that fell cold
-// without a word (its caches are empty); single stragglers don't move a median.
+// A window with a median far above the baseline shows that the target became
+// cold without reporting it, for example because its caches are empty. Single
+// slow answers don't move the median.
 void ColdStartRamp::CloseWindow(TimePoint now) {
   const Duration median = this->window_latency.median();
   const Duration baseline = this->baseline_latency.median();
--- a/knapweedroad/admission/cold_start_ramp.h
+++ b/knapweedroad/admission/cold_start_ramp.h
@@ -1,14 +1,19 @@
-// How many requests a target bears now, from evidence: its cold limit at first,
-// one step more for each window of clean answers, and back to the cold
-// limit at the first sign that it is cold.
+// A limit for the requests that may run at once on a target that may be cold. A
+// cold target, for example one that has just started or has empty caches, can
+// run fewer requests at once than a warm one.
 //
 //   ColdStartRamp ramp({.slots = 6, .cold_slots = 1});
 //   ramp.OnSuccess(latency, ramp.epoch(), now);
 //   if (in_flight < ramp.limit()) ...
 //
-// What the target says can only lower the limit: reports lag and may mislead,
-// so that "ready" permits the ramp but is no step of it. Without that word
-// there is no step either, as a cold target may answer a light load quickly.
+// The limit starts at the cold limit and rises by one for each window of
+// successful answers with normal latency, up to the target's slots. It returns
+// to the cold limit at the first evidence that the target is cold.
+//
+// The state that the target reports never raises the limit, since reports
+// arrive late and may be wrong. "Ready" only permits the limit to rise, and
+// without it the limit doesn't rise, since a cold target may answer quickly
+// under a light load.
 
 #ifndef KNAPWEEDROAD_ADMISSION_COLD_START_RAMP_H_
 #define KNAPWEEDROAD_ADMISSION_COLD_START_RAMP_H_
@@ -23,60 +28,70 @@
 class ColdStartRamp {
  public:
   struct Options {
+    // Requests that the warm target can run at once; the upper bound of
+    // limit().
     uint32_t slots = 1;
-    // At least one: a target that gets nothing never warms.
+    // The limit while the target is cold. At least one, since a target that
+    // receives no requests never warms up.
     uint32_t cold_slots = 1;
-    // A window is over after this many clean answers and this much
-    // time.
+    // A window ends when it has at least this many successful answers and has
+    // lasted at least this long.
     uint32_t min_window_answers = 8;
     Duration min_window_time = std::chrono::milliseconds(200);
-    // A window whose median is above this multiple of the baseline is
-    // no evidence of warmth; above the second one, it is evidence of cold.
+    // A window whose median latency is above `warm_latency_factor` times the
+    // baseline doesn't raise the limit. One above `cold_latency_factor` times
+    // the baseline is evidence that the target is cold.
     double warm_latency_factor = 2.0;
     double cold_latency_factor = 5.0;
-    // Reports may be so old when they come in: for so long after a fall, one
-    // that says "ready" may be of before it.
+    // The longest time between the sending of a report and its arrival. For
+    // this long after a reset, a "ready" report is ignored, since it may have
+    // been sent before the reset.
     Duration max_report_age = std::chrono::seconds(1);
-    // A step that is followed by a fall was wrong, and doubles the answers
-    // that the next window needs, up to this many times the first
-    // number.
+    // Each reset from above the cold limit doubles `min_window_answers` for the
+    // following windows, up to this factor.
     uint32_t max_backoff_factor = 16;
   };
 
   explicit ColdStartRamp(const Options& options);
 
-  // An answer to an attempt begun in `epoch`. One begun before the last fall
-  // says nothing of the target as it is now and is passed over.
+  // Records a successful answer to an attempt that started in `epoch`. An
+  // answer from an earlier epoch is ignored, since it shows the target as it
+  // was before the last reset.
   void OnSuccess(Duration latency, uint64_t epoch, TimePoint now);
 
-  // Any evidence of cold: a shed, a new incarnation, the target's own word.
+  // Sets the limit back to the cold limit. For any evidence that the target is
+  // cold, such as a shed request, a lost connection or an answer that says so.
   void ResetToCold(TimePoint now);
 
-  // Its report says that it is cold: reports are in order, so that the next
-  // "ready" is of after this.
+  // As ResetToCold(), for a report that the target is cold. Reports are
+  // processed in order, so the next "ready" report was sent after this one and
+  // isn't ignored.
   void ResetOnColdReport(TimePoint now);
 
-  // The target has started anew: its reports from now on are of after that,
-  // however old they are.
+  // As ResetToCold(), for a target that has restarted. Every later report comes
+  // from the new process and counts at once.
   void OnTargetRestart(TimePoint now);
 
-  // The target's report says whether it is ready for its slots.
+  // Records whether the target's latest report says that it is ready.
   void OnReport(bool ready, TimePoint now);
 
-  // An answer to an attempt begun in `epoch` says that it is ready.
+  // Records that the answer to an attempt that started in `epoch` says that the
+  // target is ready.
   void OnReadyAnswer(uint64_t epoch);
 
-  // Requests at once, between the cold limit and the slots.
+  // Requests that may run at once: at least cold_limit(), at most the slots.
   uint32_t limit() const { return this->current_limit; }
   bool cold() const { return this->current_limit <= this->cold_limit(); }
   uint32_t cold_limit() const;
 
-  // Counts the resets; an attempt is stamped with it at its start.
+  // The number of resets so far. The caller stores it with each attempt that it
+  // starts, and passes it to OnSuccess() and OnReadyAnswer().
   uint64_t epoch() const { return this->resets; }
+  // How often the limit was raised.
   uint64_t raise_count() const { return this->raises; }
 
-  // The target's usual latency, kept over resets; zero before any
-  // answer.
+  // The target's usual latency: a running median of the windows' medians, kept
+  // across resets. Zero until the first window ends.
   Duration baseline() const { return this->baseline_latency.median(); }
 
  private:
@@ -85,9 +100,12 @@
 
   Options options;
   uint32_t current_limit;
-  // The target's last word, as far as it counts, is that it is ready.
+  // Whether the last report or answer that counts said that the target is
+  // ready.
   bool reported_ready = false;
+  // "Ready" reports that arrive earlier are ignored.
   TimePoint reports_valid_from{};
+  // Multiplies `min_window_answers`.
   uint32_t backoff_factor = 1;
   uint64_t resets = 0;
   uint64_t raises = 0;
--- a/knapweedroad/admission/cold_start_ramp_test.cc
+++ b/knapweedroad/admission/cold_start_ramp_test.cc
@@ -13,7 +13,7 @@
   return ramp;
 }
 
-// Feeds answers, 40 ms apart.
+// Records successful answers, 40 ms apart. Returns the time of the last one.
 TimePoint FeedAnswers(ColdStartRamp& ramp,
                       int answers,
                       Duration latency,
@@ -25,7 +25,7 @@
   return now;
 }
 
-Test(ColdStartRamp, StartsColdAndStepsOnceAWindow) {
+Test(ColdStartRamp, StartsColdAndRisesOncePerWindow) {
   ColdStartRamp ramp = MakeReadyRamp(3);
   cr_assert_eq(ramp.limit(), 1u);
   TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
@@ -36,10 +36,10 @@
   cr_assert_eq(ramp.limit(), 3u);
 }
 
-// A target falls cold under load and says so. The answers to what it took
-// while it was warm still come in, quick and clean; were they counted, it
-// would get its full load back within one window, and fall over.
-Test(ColdStartRamp, AnswersToWorkOfBeforeTheFallWarmNothing) {
+// A target becomes cold under load and reports it. Quick answers to requests
+// that it received while it was warm still arrive. If they counted, the target
+// would get its full load back within one window and be overloaded.
+Test(ColdStartRamp, AnswersFromBeforeTheResetDoNotRaiseTheLimit) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
   const uint64_t old_epoch = ramp.epoch();
@@ -51,17 +51,18 @@
   cr_assert_eq(ramp.limit(), 1u);
 }
 
-Test(ColdStartRamp, StaysColdWhileTheTargetSaysSo) {
+Test(ColdStartRamp, StaysColdWhileTheTargetReportsCold) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   ramp.OnReport(false, TimePoint{});
   FeedAnswers(ramp, 100, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 1u);
 }
 
-// A target falls cold and sheds. A report that it sent before, "ready",
-// comes in after that, and its quick answers to the light load look warm: with
-// the next step it would be overloaded again.
-Test(ColdStartRamp, AReportOfBeforeTheFallPermitsNothing) {
+// A target becomes cold and sheds a request. A "ready" report that it sent
+// before that arrives afterwards, and its quick answers under the light load
+// look warm. If the report counted, the next raise would overload the target
+// again.
+Test(ColdStartRamp, ReadyReportFromBeforeTheResetIsIgnored) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
   ramp.ResetToCold(now);
@@ -73,7 +74,7 @@
   cr_assert_eq(ramp.limit(), 2u);
 }
 
-Test(ColdStartRamp, AReadyReportAfterAColdOneIsBelieved) {
+Test(ColdStartRamp, ReadyReportAfterAColdReportCounts) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   ramp.ResetOnColdReport(TimePoint{});
   ramp.OnReport(true, TimePoint(milliseconds(10)));
@@ -81,7 +82,7 @@
   cr_assert_eq(ramp.limit(), 2u);
 }
 
-Test(ColdStartRamp, ANewLifesFirstReportIsBelieved) {
+Test(ColdStartRamp, FirstReportAfterARestartCounts) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   const TimePoint now = FeedAnswers(ramp, 8, milliseconds(20), TimePoint{});
   ramp.OnTargetRestart(now);
@@ -91,9 +92,10 @@
   cr_assert_eq(ramp.limit(), 2u);
 }
 
-// The reports lie: always "ready". Each step to the full slots ends in a shed,
-// and the next one must not come as soon as the last.
-Test(ColdStartRamp, EachWrongStepMakesTheNextOneRarer) {
+// A target always reports "ready", but sheds each time the limit reaches its
+// full slots. The second raise must need at least twice as many answers as the
+// first.
+Test(ColdStartRamp, EachResetDelaysTheNextRaise) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now{};
   int answers[2] = {0, 0};
@@ -108,7 +110,7 @@
   cr_assert_geq(answers[1], 2 * answers[0]);
 }
 
-Test(ColdStartRamp, FallsOnAWindowFarAboveTheBaseline) {
+Test(ColdStartRamp, ResetsOnAWindowFarAboveTheBaseline) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
   cr_assert_eq(ramp.limit(), 2u);
@@ -116,7 +118,7 @@
   cr_assert_eq(ramp.limit(), 1u);
 }
 
-Test(ColdStartRamp, SlowAnswersAreNoStepUp) {
+Test(ColdStartRamp, SlowAnswersDoNotRaiseTheLimit) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
   ramp.ResetToCold(now);
@@ -124,7 +126,7 @@
   cr_assert_eq(ramp.limit(), 1u);
 }
 
-Test(ColdStartRamp, OneStragglerInAWindowChangesNothing) {
+Test(ColdStartRamp, OneSlowAnswerInAWindowHasNoEffect) {
   ColdStartRamp ramp = MakeReadyRamp(2);
   TimePoint now = FeedAnswers(ramp, 80, milliseconds(20), TimePoint{});
   for (int round = 0; round < 10; ++round) {
--- a/knapweedroad/admission/latency_median.cc
+++ b/knapweedroad/admission/latency_median.cc
@@ -5,8 +5,9 @@
 namespace knapweedroad {
 namespace {
 
-// The first steps are large, so that the estimate settles within a few dozen
-// samples of a bad first one.
+// A step is the estimate divided by the sample count, up to this divisor. The
+// first steps are therefore large, and the estimate recovers within a few dozen
+// samples if the first one was an outlier.
 constexpr uint32_t kMaxStepDivisor = 32;
 
 }  // namespace
--- a/knapweedroad/admission/latency_median.h
+++ b/knapweedroad/admission/latency_median.h
@@ -1,8 +1,9 @@
-// A target's usual latency: a running median that a few stragglers don't move.
+// A running estimate of the median of a series of latencies. A few outliers
+// barely change it.
 //
-//   LatencyMedian baseline;
-//   baseline.Add(12ms);
-//   if (latency > 3 * baseline.median()) ...
+//   LatencyMedian median_latency;
+//   median_latency.Add(12ms);
+//   if (latency > 3 * median_latency.median()) ...
 
 #ifndef KNAPWEEDROAD_ADMISSION_LATENCY_MEDIAN_H_
 #define KNAPWEEDROAD_ADMISSION_LATENCY_MEDIAN_H_
@@ -15,9 +16,10 @@
 
 class LatencyMedian {
  public:
+  // Moves the estimate one step towards `latency`; the first call sets it.
   void Add(Duration latency);
 
-  // Zero until the first latency.
+  // The estimate; zero until the first Add().
   Duration median() const { return this->estimate; }
 
  private:
--- a/knapweedroad/admission/target_admission.cc
+++ b/knapweedroad/admission/target_admission.cc
@@ -7,11 +7,11 @@
 namespace knapweedroad {
 namespace {
 
-// One answer moves the mean service time by this part of the
-// difference...
+// Each answer moves the mean service time by the difference divided by this.
 constexpr int kServiceTimeDivisor = 16;
-// ...and counts for at most this multiple of the mean, so that one straggler
-// doesn't make the tier refuse what would fit.
+// A latency is capped at this multiple of the mean service time, so that a
+// single slow answer doesn't cause the refusal of attempts that would finish in
+// time.
 constexpr int kMaxServiceTimeFactor = 4;
 
 ColdStartRamp::Options RampOptions(const TargetAdmission::Options& options) {
@@ -84,8 +84,9 @@
       this->running.erase(found);
       break;
     case AttemptStatus::kShed:
-      // This host keeps to the slots, so a shed says that the target bears
-      // less than that: it is cold, or somebody else's work is on it.
+      // This host stays within the target's slots. A shed therefore shows that
+      // the target can run fewer requests: it is cold, or it also runs requests
+      // from elsewhere.
       ++this->counts.sheds;
       this->running.erase(found);
       this->ResetToCold(now);
@@ -111,7 +112,8 @@
   if (result.state == TargetState::kReady) {
     this->ramp.OnReadyAnswer(ended.epoch);
   }
-  // An answer of a former incarnation says nothing of this one's leaving.
+  // If a former incarnation answered that it is leaving, the current one may
+  // not be.
   if (result.state && (*result.state == TargetState::kCold ||
                        ended.incarnation == this->incarnation)) {
     this->ApplyTargetState(*result.state, now);
@@ -175,7 +177,8 @@
 
 AdmissionActions TargetAdmission::SetAcceptingNew(bool accepting,
                                                   TimePoint now) {
-  // A zone that comes back finds its targets unused, with empty caches.
+  // The targets of a zone that returns to service were unused, so their caches
+  // are empty.
   if (accepting && !this->accepting) {
     this->ResetToCold(now);
   }
@@ -256,9 +259,9 @@
   }
 }
 
-// An attempt that was given up on, or whose end was never told, holds its slot
-// until the target can't be at it any more: freeing it earlier would put one
-// request more on the target than it has slots.
+// An attempt that this host abandoned, or whose end was not reported, keeps its
+// slot until the target can't be running it any more. If the slot were freed
+// earlier, the target could receive one request more than it has slots.
 void TargetAdmission::ReleaseExpired(TimePoint now) {
   const auto released = std::erase_if(this->running, [&](const auto& entry) {
     return now >= entry.second.deadline + this->options.deadline_margin;
@@ -299,9 +302,9 @@
   }
 }
 
-// A request that is cut off, or a port that refuses, is the first trace of a
-// target that restarted unannounced. (A kept connection that the target closes
-// while it idles is opened anew before anything is said here.)
+// A broken or refused connection is the first evidence of an unannounced
+// restart of the target. A failure to reuse an idle connection that the target
+// has closed is not reported here; the connection is reopened first.
 void TargetAdmission::OnConnectionFailure(TimePoint now) {
   ++this->counts.lost_connections;
   this->BackOff(now);
@@ -310,8 +313,9 @@
   }
 }
 
-// Guards against a loop of sends that a target which bears nothing now sheds
-// or cuts off at once: such a loop empties the queue within milliseconds.
+// Without a pause, attempts would be sent in a tight loop to a target that
+// sheds or disconnects each of them at once, which would use up the queue
+// within milliseconds.
 void TargetAdmission::BackOff(TimePoint now) {
   this->adaptive_limit.OnOverload(now);
   ++this->consecutive_failures;
--- a/knapweedroad/admission/target_admission_queue.cc
+++ b/knapweedroad/admission/target_admission_queue.cc
@@ -1,4 +1,4 @@
-// What `TargetAdmission` decides of attempts that wait.
+// The part of `TargetAdmission` that handles queued attempts.
 
 #include <algorithm>
 #include <chrono>
@@ -35,8 +35,8 @@
   return this->ExpectedOverrun(request, now) <= Duration::zero();
 }
 
-// By how much it would be done after the planned part of its time; less
-// than zero where it fits.
+// Returns how long after the usable part of its remaining time the attempt is
+// expected to finish. Zero or negative if it is expected to finish in time.
 Duration TargetAdmission::ExpectedOverrun(const AdmissionRequest& request,
                                           TimePoint now) const {
   const uint32_t ahead = this->queue.PositionOf(request);
@@ -47,7 +47,8 @@
   return needed - Duration(static_cast<Duration::rep>(usable_time));
 }
 
-// The time in which so many slots come free, at the mean service time.
+// Returns the time until this many slots are expected to become free, at the
+// mean service time and after the current backoff.
 Duration TargetAdmission::ExpectedWait(uint32_t slots_needed,
                                        TimePoint now) const {
   const uint32_t slots = std::max<uint32_t>(this->limit(now), 1);
@@ -57,14 +58,16 @@
   return service_time + backoff;
 }
 
-// After this long, the same request would fit if nothing else came.
+// Returns the time after which the same request is expected to fit if no other
+// requests arrive.
 Duration TargetAdmission::RetryAfter(const AdmissionRequest& request,
                                      TimePoint now) const {
   return std::max(this->ExpectedOverrun(request, now), kMinRetryAfter);
 }
 
-// Gives what waits its answer as soon as it is certain, instead of near its
-// deadline: all of it when no more may be sent, else what can't be done.
+// Refuses queued attempts as soon as it is certain that they can't run, instead
+// of near their deadlines: all of them if new work is blocked, otherwise those
+// that can't finish by their deadline.
 void TargetAdmission::RefuseUnmeetable(TimePoint now,
                                        AdmissionActions& actions) {
   RefusalKind kind = RefusalKind::kDeadline;
@@ -87,16 +90,18 @@
   }
 }
 
-// On an idle target the next one is tried up to its very deadline, whatever
-// was measured: estimates that nothing can correct any more, because they are
-// above every deadline, would refuse all work for ever.
+// Returns the time from which the queued attempt is to be refused. On an idle
+// target the next attempt may start up to its deadline, whatever the estimates.
+// If the estimates exceeded every deadline, all work would otherwise be refused
+// forever and nothing would correct them.
 TimePoint TargetAdmission::RefusalTime(const AdmissionRequest& request,
                                        uint32_t ahead,
                                        TimePoint now) const {
   if (ahead == 0 && this->running.empty()) {
     return request.deadline;
   }
-  // The one that runs before it may be about to end: `ahead`, not one more.
+  // Counts `ahead` slots, not `ahead` + 1, since the attempt that runs before
+  // this one may be about to end.
   const Duration needed =
       this->ExpectedWait(ahead, now) + this->ramp.baseline();
   return request.deadline - needed + Duration(1);
--- a/knapweedroad/admission/target_admission_test.cc
+++ b/knapweedroad/admission/target_admission_test.cc
@@ -43,7 +43,7 @@
   return nullptr;
 }
 
-// A target of two slots, warmed by answers, under a lease of both.
+// Returns the admission of a warm target with two slots and a share of both.
 TargetAdmission WarmTarget(TimePoint& now, double usable_time_fraction = 0.5) {
   TargetAdmission admission({.slots = 2,
                              .cold_slots = 1,
@@ -59,7 +59,7 @@
   return admission;
 }
 
-Test(TargetAdmission, NothingStartsWithoutAShare) {
+Test(TargetAdmission, NoAttemptStartsWithoutAShare) {
   TargetAdmission admission({.slots = 2});
   const auto actions =
       admission.Submit(MakeRequest("a", kStart + seconds(1)), kStart);
@@ -67,7 +67,7 @@
   cr_assert(FindRefusal(actions)->kind == RefusalKind::kNoLease);
 }
 
-Test(TargetAdmission, ANewTargetGetsNoMoreThanItsColdLimit) {
+Test(TargetAdmission, NewTargetIsLimitedToItsColdSlots) {
   TargetAdmission admission({.slots = 2, .cold_slots = 1});
   admission.SetShare({.slots = 2}, kStart);
   const TimePoint deadline = kStart + seconds(1);
@@ -78,7 +78,7 @@
   cr_assert_eq(admission.in_flight(), 1u);
 }
 
-Test(TargetAdmission, AReadyReportRaisesNothing) {
+Test(TargetAdmission, ReadyReportDoesNotRaiseTheLimit) {
   TargetAdmission admission({.slots = 2, .cold_slots = 1});
   admission.SetShare({.slots = 2}, kStart);
   TargetReport report{.incarnation = 1, .state = TargetState::kReady};
@@ -89,7 +89,7 @@
   cr_assert_eq(admission.limit(kStart), 1u);
 }
 
-Test(TargetAdmission, AShedTakesTheTargetBackToItsColdLimit) {
+Test(TargetAdmission, ShedResetsTheTargetToItsColdLimit) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.Submit(MakeRequest("a", now + seconds(1)), now);
@@ -97,7 +97,7 @@
   cr_assert_eq(admission.limit(now), 1u);
 }
 
-Test(TargetAdmission, AnAnswerThatSaysColdIsBelievedAtOnce) {
+Test(TargetAdmission, AnswerWithStateColdResetsTheLimit) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.Submit(MakeRequest("a", now + seconds(1)), now);
@@ -107,7 +107,7 @@
   cr_assert_eq(admission.limit(now), 1u);
 }
 
-Test(TargetAdmission, ANewIncarnationIsCold) {
+Test(TargetAdmission, NewIncarnationStartsCold) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   TargetReport report{
@@ -119,7 +119,7 @@
   cr_assert_eq(admission.limit(now), 1u);
 }
 
-Test(TargetAdmission, ALostOrRefusedConnectionIsARestart) {
+Test(TargetAdmission, LostOrRefusedConnectionCountsAsARestart) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.Submit(MakeRequest("a", now + seconds(1)), now);
@@ -131,9 +131,9 @@
   cr_assert_eq(refused.limit(now), 1u);
 }
 
-// A target refuses every connection while it restarts. Sent one after the
-// other as each fails, all that waits would be used up within milliseconds.
-Test(TargetAdmission, FailuresInARowPauseTheStarts) {
+// A target refuses every connection while it restarts. Without a pause, all
+// queued attempts would be sent and would fail within milliseconds.
+Test(TargetAdmission, ConsecutiveFailuresDelayTheNextStart) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + seconds(1);
@@ -147,7 +147,7 @@
   cr_assert_eq(CountStarts(admission.Tick(admission.NextWake())), 1u);
 }
 
-Test(TargetAdmission, ATargetOfAZoneThatComesBackIsCold) {
+Test(TargetAdmission, TargetOfAReturningZoneStartsCold) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.SetAcceptingNew(false, now);
@@ -157,10 +157,11 @@
   cr_assert_eq(admission.limit(now), 1u);
 }
 
-// A caller leaves, or a hedge wins, and the slot is given to the next one. The
-// target hasn't read the cancellation yet: it counts three on its two slots
-// and sheds, or stalls all of them.
-Test(TargetAdmission, ACancelledAttemptKeepsItsSlotUntilTheTargetEndedIt) {
+// An attempt is cancelled because its caller disconnects or a hedge wins. The
+// target hasn't processed the cancellation yet. If the slot were reused at
+// once, the target would run three requests on two slots and shed or delay
+// them.
+Test(TargetAdmission, CancelledAttemptKeepsItsSlotUntilTheTargetConfirms) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + seconds(1);
@@ -175,7 +176,7 @@
   cr_assert_eq(CountStarts(confirmed), 1u);
 }
 
-Test(TargetAdmission, ASlotOfUnknownFateComesBackAfterDeadlineAndMargin) {
+Test(TargetAdmission, TimedOutAttemptFreesItsSlotAfterDeadlineAndMargin) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint deadline = now + milliseconds(200);
@@ -188,7 +189,7 @@
   cr_assert_eq(admission.in_flight(), 0u);
 }
 
-Test(TargetAdmission, RefusesAtOnceWhatCannotBeDoneByItsDeadline) {
+Test(TargetAdmission, RefusesAtOnceWhatCannotMeetItsDeadline) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now, 1.0);
   const TimePoint deadline = now + milliseconds(100);
@@ -200,16 +201,17 @@
     refusal = FindRefusal(actions);
     accepted += refusal == nullptr ? 1 : 0;
   }
-  // Two run; in 100 ms two slots end about ten more of 20 ms.
+  // Two run at once; in 100 ms, two slots finish about ten attempts of 20 ms.
   cr_assert(refusal != nullptr);
   cr_assert_geq(accepted, 6u);
   cr_assert_leq(accepted, 14u);
   cr_assert(refusal->retry_after > Duration::zero());
 }
 
-// Under overload, a queue as long as the deadlines allow makes every attempt
-// late by a little or just in time, and half of the target's work is wasted.
-Test(TargetAdmission, PlansForAPartOfTheTimeLeft) {
+// Under overload, a queue that fills the whole time to the deadline makes each
+// attempt finish just before or just after it, which wastes half of the
+// target's work.
+Test(TargetAdmission, RefusesWhatExceedsTheUsableTimeFraction) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now, 0.5);
   const TimePoint deadline = now + milliseconds(200);
@@ -223,7 +225,7 @@
   cr_assert_leq(accepted, 14u);
 }
 
-Test(TargetAdmission, DropsWhatPassedItsDeadlineBeforeItIsSent) {
+Test(TargetAdmission, RefusesQueuedAttemptPastItsDeadline) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint far = now + seconds(5);
@@ -237,7 +239,7 @@
   cr_assert(FindRefusal(actions)->kind == RefusalKind::kDeadline);
 }
 
-Test(TargetAdmission, AWaitingAttemptIsRefusedByTimeAlone) {
+Test(TargetAdmission, TickRefusesQueuedAttemptBeforeItsDeadline) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.Submit(MakeRequest("a", now + seconds(5)), now);
@@ -249,10 +251,10 @@
   cr_assert_eq(FindRefusal(actions)->attempt, "c");
 }
 
-// A target was so slow for a while that the measured latency is above every
-// deadline. If the estimate kept all work away, nothing would ever correct it,
-// and the target would stay unused for good after the outlier has ended.
-Test(TargetAdmission, AnIdleTargetIsTriedWhateverWasMeasured) {
+// A target was slow for a while, so the measured latency exceeds every
+// deadline. If the estimate caused the refusal of all work, no answer would
+// ever correct it, and the target would stay unused after it has recovered.
+Test(TargetAdmission, IdleTargetIsTriedDespiteHighEstimates) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   for (int i = 0; i < 500; ++i) {
@@ -266,7 +268,7 @@
                1u);
 }
 
-Test(TargetAdmission, AHedgeNeverWaits) {
+Test(TargetAdmission, HedgeIsNeverQueued) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint far = now + seconds(5);
@@ -279,7 +281,7 @@
   cr_assert(FindRefusal(busy)->kind == RefusalKind::kNoFreeSlot);
 }
 
-Test(TargetAdmission, ALeavingTargetGetsNothingMoreUntilItStartsAgain) {
+Test(TargetAdmission, LeavingTargetGetsNoAttemptsUntilItRestarts) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.Submit(MakeRequest("a", now + seconds(5)), now);
@@ -290,7 +292,7 @@
   const auto actions = admission.OnReport(report, now);
   cr_assert_eq(FindRefusal(actions)->attempt, "c");
   cr_assert_eq(admission.in_flight(), 2u);
-  // An older report that comes late takes nothing back.
+  // An older report that arrives late has no effect.
   report.sequence = 8;
   report.state = TargetState::kReady;
   admission.OnReport(report, now);
@@ -300,10 +302,10 @@
   cr_assert(!admission.leaving());
 }
 
-// A target leaves, restarts and reports for duty. The leaving report of its
-// former life was relayed by a slow peer and comes in now: were it believed,
-// the target would stay unused.
-Test(TargetAdmission, ALateReportOfAFormerIncarnationChangesNothing) {
+// A target leaves, restarts and reports that it is ready. A report from its
+// former incarnation that it is leaving arrives late through another host. If
+// it counted, the target would stay unused.
+Test(TargetAdmission, LateReportOfAFormerIncarnationIsIgnored) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   TargetReport report{.incarnation = 3, .sequence = 50};
@@ -313,10 +315,11 @@
   cr_assert_eq(admission.limit(now), 2u);
 }
 
-// A holder is stopped (SIGSTOP) and wakes after its lease ran out, with a
-// start already decided. Another host has the target by now; if the write went
-// out, both would use the same slot.
-Test(TargetAdmission, NothingIsSentAfterTheLeaseRanOut) {
+// The process of a holder is stopped (SIGSTOP) and continues after its lease
+// has expired, with an attempt that is about to be written. Another host may
+// hold the lease by then. If the write happened, both hosts would use the same
+// slot.
+Test(TargetAdmission, NoAttemptIsSentAfterTheLeaseExpired) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   const TimePoint expiry = now + milliseconds(500);
@@ -329,7 +332,7 @@
   cr_assert_eq(CountStarts(late), 0u);
 }
 
-Test(TargetAdmission, AColdTargetGetsNothingFromAHostThatMayNotWarmIt) {
+Test(TargetAdmission, ColdTargetGetsNoAttemptsWithoutColdAllowed) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   admission.SetShare({.slots = 1, .cold_allowed = false}, now);
@@ -338,7 +341,7 @@
   cr_assert_eq(admission.limit(now), 0u);
 }
 
-Test(TargetAdmission, ARepeatedRequestIsNotRunTwice) {
+Test(TargetAdmission, RepeatedRequestHasNoEffect) {
   TimePoint now = kStart;
   TargetAdmission admission = WarmTarget(now);
   cr_assert_eq(
@@ -347,9 +350,9 @@
   cr_assert(admission.Submit(MakeRequest("a", now + seconds(1)), now).empty());
 }
 
-// Random events at every step; the target's own count (attempts begun and not
-// yet ended by it) is kept beside.
-Test(TargetAdmission, NeverMoreOnTheTargetThanItsLimit) {
+// Applies random events and compares the limit with the attempts that the
+// target has started and not ended.
+Test(TargetAdmission, RunningAttemptsNeverExceedTheLimit) {
   for (uint32_t seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     TimePoint now = kStart;
--- a/knapweedroad/admission/target_lease.cc
+++ b/knapweedroad/admission/target_lease.cc
@@ -7,7 +7,8 @@
 namespace knapweedroad {
 namespace {
 
-// The latest moment that at least `needed` of them reach.
+// Returns the latest time that at least `needed` of `times` reach; TimePoint{}
+// if there are fewer, or if `needed` is zero.
 TimePoint NthLatest(std::vector<TimePoint> times, std::size_t needed) {
   if (needed == 0 || times.size() < needed) {
     return TimePoint{};
@@ -83,14 +84,15 @@
   }
 }
 
-// A majority decides who the holder is, and each part of the slots is lent by
-// its owner, or taken for it where the owner is known not to run. So the slots
-// of a host that can't be reached stay free for it: it may be cut off, and use
-// them.
+// A majority of votes decides which host is the holder. Each part of the slots
+// is lent by its owner, or taken over if the owner is known not to be running.
+// The part of an owner that is merely unreachable isn't used, since the owner
+// may be isolated and use it itself.
 TargetShare TargetLease::MajorityShare(TimePoint now,
                                        const StoppedFrom& stopped_from) const {
-  // Any majority that has waited for earlier work shares a member with the
-  // majority that any earlier holder had.
+  // Only votes whose waiting time for work of an earlier holder is over count.
+  // A majority of such votes shares a member with the majority of any earlier
+  // holder.
   std::vector<TimePoint> expiries;
   for (const auto& [host, vote] : this->votes) {
     if (vote.usable_from <= now) {
--- a/knapweedroad/admission/target_share.h
+++ b/knapweedroad/admission/target_share.h
@@ -1,4 +1,5 @@
-// How much of a target this host may use now: the lease's word to admission.
+// The part of a target's capacity that this host may use. `TargetLease`
+// computes it, and `TargetAdmission::SetShare()` applies it.
 
 #ifndef KNAPWEEDROAD_ADMISSION_TARGET_SHARE_H_
 #define KNAPWEEDROAD_ADMISSION_TARGET_SHARE_H_
@@ -10,11 +11,12 @@
 namespace knapweedroad {
 
 struct TargetShare {
-  // Slots of the warm target; zero stops new work.
+  // Requests that this host may have running on the warm target at once. With
+  // zero, no new request is sent.
   uint32_t slots = 0;
-  // Whether this host may send to the target while it is cold.
+  // Whether this host may send requests to the target while the target is cold.
   bool cold_allowed = true;
-  // Nothing may be sent at or after this moment of this host's clock.
+  // No request may be sent at or after this time, by this host's clock.
   TimePoint valid_until = TimePoint::max();
 
   friend bool operator==(const TargetShare&, const TargetShare&) = default;
