--- a/bench/entry/entry_cost.cc
+++ b/bench/entry/entry_cost.cc
@@ -34,7 +34,7 @@
 #include "knapweedroad/routing/load_balancer.h"
 #include "knapweedroad/routing/relay_choice.h"
 #include "knapweedroad/routing/route_table.h"
-#include "knapweedroad/routing/split_rotation.h"
+#include "knapweedroad/routing/weighted_round_robin.h"
 
 namespace knapweedroad {
 namespace {
@@ -144,7 +144,7 @@
   RelayChoice relays{{}};
   GatherLinks gather_links;
   EntryMetrics metrics;
-  SplitRotation rotation;
+  WeightedRoundRobin rotation;
   EntryParts parts;
   CallerServer callers;
 };
--- a/knapweedroad/edge/entry_host.cc
+++ b/knapweedroad/edge/entry_host.cc
@@ -73,10 +73,10 @@
   if (reply.zone != this->options.settings.zone) {
     this->balancer.OnOutsideAnswer(now);
   } else {
-    this->balancer.reachability().OnTold(reply.is_cut_off, now);
+    this->balancer.reachability().OnControlReport(reply.is_cut_off, now);
   }
   LearnTargets(this->balancer, from, reply, now);
-  if (this->entry_hosts.Learn(
+  if (this->entry_hosts.Update(
           from,
           reply.has_hosts ? std::optional(reply.entry_hosts.put) : std::nullopt,
           now)) {
@@ -124,7 +124,7 @@
   return std::ranges::all_of(
       this->parts.table->config().routes, [&](const RouteConfig& route) {
         const auto served = std::ranges::count_if(
-            route.services, [&](const RouteService& part) {
+            route.services, [&](const WeightedService& part) {
               return this->balancer.IsServedInZone(part.service, now);
             });
         const double all = static_cast<double>(route.services.size());
@@ -137,7 +137,7 @@
   ZoneReachability& reachability = this->balancer.reachability();
   const bool sends_away =
       reachability.is_cut_off(now) &&
-      reachability.should_send_away(this->ZoneServesAll(now), now);
+      reachability.ShouldDivert(this->ZoneServesAll(now), now);
   if (std::exchange(this->is_sending_away, sends_away) != sends_away) {
     LogLine(sends_away ? "zone_cut_off" : "zone_reached")
         .Add("zone", this->options.settings.zone)
@@ -157,7 +157,7 @@
   this->routing.Adopt(now);
   this->WatchReachability(now);
   this->balancer.ForgetOldOutliers(now);
-  if (this->entry_hosts.ForgetOld(now)) {
+  if (this->entry_hosts.ExpireLists(now)) {
     this->UseEntryHosts(now);
   }
   this->balancer.ForgetSilent(now);
--- a/knapweedroad/edge/entry_host_state.h
+++ b/knapweedroad/edge/entry_host_state.h
@@ -27,7 +27,7 @@
 #include "knapweedroad/routing/entry_host_lists.h"
 #include "knapweedroad/routing/load_balancer.h"
 #include "knapweedroad/routing/relay_choice.h"
-#include "knapweedroad/routing/split_rotation.h"
+#include "knapweedroad/routing/weighted_round_robin.h"
 
 namespace knapweedroad {
 
@@ -69,7 +69,7 @@
   GatherLinks gather_links;
   GatherRelay gather_relay;
   EntryMetrics metrics;
-  SplitRotation rotation;
+  WeightedRoundRobin rotation;
   EntryParts parts;
   std::unique_ptr<CallerServer> callers;
   std::unique_ptr<PeerServer> peers;
--- a/knapweedroad/edge/entry_parts.h
+++ b/knapweedroad/edge/entry_parts.h
@@ -25,8 +25,8 @@
 class RelayChoice;
 class RouteTable;
 class Runtime;
-class SplitRotation;
 class TargetLinks;
+class WeightedRoundRobin;
 struct HeaderNames;
 
 // The parts of an entry host that its requests work with; all outlive them.
@@ -36,7 +36,7 @@
   LoadBalancer& balancer;
   TargetLinks& links;
   EntryMetrics& metrics;
-  SplitRotation& rotation;
+  WeightedRoundRobin& rotation;
   RetryBudgetLimits budget_limits;
   TimePoint started;
   std::minstd_rand random;
--- a/knapweedroad/edge/entry_request.cc
+++ b/knapweedroad/edge/entry_request.cc
@@ -25,7 +25,7 @@
 #include "knapweedroad/routing/load_balancer.h"
 #include "knapweedroad/routing/request_run.h"
 #include "knapweedroad/routing/route_table.h"
-#include "knapweedroad/routing/split_rotation.h"
+#include "knapweedroad/routing/weighted_round_robin.h"
 
 namespace knapweedroad {
 namespace {
@@ -122,7 +122,7 @@
   RequestRunOptions options =
       PlanRun(to, *this->request, *this->memory, this->parts.lead.Get(parts));
   if (to.is_scatter) {
-    for (const RouteService& part : to.services) {
+    for (const WeightedService& part : to.services) {
       options.services.push_back(part.service);
     }
   } else {
@@ -383,7 +383,7 @@
 
 void EntryRequest::RefuseRun(int status, std::optional<Duration> retry_after) {
   CallerAnswer answer = MakeRefusal(status, retry_after);
-  answer.closes = this->parts.balancer.reachability().is_sending_away();
+  answer.closes = this->parts.balancer.reachability().is_diverting();
   this->exchange->Answer(std::move(answer));
 }
 
@@ -419,7 +419,7 @@
   const TimePoint decided = Runtime::Now();
   const int status = this->AnswerCaller(end);
   this->attempts->ReleaseAfterAnswer();
-  this->parts.balancer.reachability().OnRequest(
+  this->parts.balancer.reachability().OnRequestEnded(
       /*is_served=*/end.kind == RunEndKind::kParts ||
           end.kind == RunEndKind::kAnswer,
       Runtime::Now());
--- a/knapweedroad/edge/gather_relay.cc
+++ b/knapweedroad/edge/gather_relay.cc
@@ -16,7 +16,7 @@
 #include "knapweedroad/net/timed_event.h"
 #include "knapweedroad/registry/target_record.h"
 #include "knapweedroad/routing/load_balancer.h"
-#include "knapweedroad/routing/record_cut.h"
+#include "knapweedroad/routing/record_limit.h"
 #include "knapweedroad/routing/record_merge.h"
 
 namespace knapweedroad {
@@ -71,7 +71,7 @@
 
   std::shared_ptr<const KnownRequest> of;
   TimePoint deadline;
-  RecordCut cut;
+  RecordLimit cut;
   uint16_t batches = 0;
   std::vector<Attempt> attempts;
   // Not told yet.
@@ -153,9 +153,10 @@
   const std::vector<std::string_view> views(bodies.begin(), bodies.end());
   reply.records = MergeRecords(views, run.of->top_records);
   const size_t wanted =
-      kRecordBytes * run.cut.Wanted({.parts = views.size(),
-                                     .shards = run.of->shards,
-                                     .top = run.of->top_records});
+      kRecordBytes *
+      run.cut.RecordsToRequest({.parts = views.size(),
+                                .shards = run.of->shards,
+                                .top_records = run.of->top_records});
   if (reply.records.size() <= wanted) {
     return reply;
   }
@@ -217,7 +218,7 @@
   const auto run = std::make_shared<Run>(this->options.runtime);
   run->of = known;
   run->deadline = now + microseconds(call.time_left_us);
-  run->cut = RecordCut(call.record_percent / kPercent);
+  run->cut = RecordLimit(call.record_percent / kPercent);
   run->attempts.resize(call.targets.size());
   this->runs.emplace(call.token, run);
   for (size_t i = 0; i < call.targets.size(); ++i) {
--- a/knapweedroad/edge/request_gathers.cc
+++ b/knapweedroad/edge/request_gathers.cc
@@ -8,7 +8,7 @@
 #include "knapweedroad/edge/entry_parts.h"
 #include "knapweedroad/edge/run_plan.h"
 #include "knapweedroad/routing/load_balancer.h"
-#include "knapweedroad/routing/record_cut.h"
+#include "knapweedroad/routing/record_limit.h"
 #include "knapweedroad/routing/record_merge.h"
 #include "knapweedroad/routing/relay_choice.h"
 #include "knapweedroad/routing/route_config.h"
@@ -24,7 +24,7 @@
       request_bytes(options.request.path.size() + options.request.host.size() +
                     options.request.header.size() + options.request.id.size()) {
   if (this->route.is_scatter) {
-    this->zones = this->parts.relays.Zones(now);
+    this->zones = this->parts.relays.AvailableZones(now);
   }
 }
 
@@ -37,8 +37,8 @@
       {.parts = count,
        .part_bytes = part_bytes,
        .request_bytes = this->request_bytes,
-       .wanted_records = this->memory.record_cut.Wanted(
-           {.parts = count, .shards = this->shards, .top = top})});
+       .requested_records = this->memory.record_cut.RecordsToRequest(
+           {.parts = count, .shards = this->shards, .top_records = top})});
 }
 
 void RequestGathers::AddGroups(std::vector<AttemptStart> starts,
@@ -111,10 +111,10 @@
     if (part.held == 0) {
       continue;
     }
-    const bool needs = MayNeedHeld(
+    const bool needs = MayNeedWithheld(
         answer, top,
-        {.sent = part.body, .held = this->held[part.held - 1].count});
-    this->memory.record_cut.OnUsed(!needs);
+        {.sent = part.body, .withheld = this->held[part.held - 1].count});
+    this->memory.record_cut.OnMerged(!needs);
     if (needs) {
       need.push_back(&part);
     }
--- a/knapweedroad/edge/routing_in_force.cc
+++ b/knapweedroad/edge/routing_in_force.cc
@@ -42,7 +42,7 @@
   this->routing_text = state->text;
   this->adoption.Offer(std::make_shared<RouteTable>(*std::move(routing)), now);
   this->Adopt(now);
-  if (this->adoption.is_holding()) {
+  if (this->adoption.has_pending()) {
     LogLine("configuration_held_back")
         .Add("number", state->number)
         .Add("agreed_version", agreed_version)
@@ -51,7 +51,7 @@
 }
 
 void RoutingInForce::Adopt(TimePoint now) {
-  const auto table = this->adoption.Take(this->options.is_served, now);
+  const auto table = this->adoption.Adopt(this->options.is_served, now);
   if (table == nullptr) {
     return;
   }
--- a/knapweedroad/edge/run_plan.h
+++ b/knapweedroad/edge/run_plan.h
@@ -8,7 +8,7 @@
 
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/routing/latency_window.h"
-#include "knapweedroad/routing/record_cut.h"
+#include "knapweedroad/routing/record_limit.h"
 #include "knapweedroad/routing/request_run.h"
 
 namespace knapweedroad {
@@ -25,7 +25,7 @@
   LatencyWindow gathered_latency;
   // Of a part that this host asked for itself, smoothed; zero: none yet.
   double part_bytes = 0;
-  RecordCut record_cut;
+  RecordLimit record_cut;
   // The longest time that callers of the route say they wait: what the first
   // of a caller's attempts has. Shorter ones show how long ago it began.
   Duration longest_wait{};
--- a/knapweedroad/routing/concurrency_limit.cc
+++ b/knapweedroad/routing/concurrency_limit.cc
@@ -8,26 +8,28 @@
 
 // Requests waiting at the target, over its slots: as many times its service
 // time is lost in the queue.
-constexpr double kMostQueueRounds = 0.7;
-constexpr double kDecrease = 0.7;
+constexpr double kMaxWaitingPerSlot = 0.7;
+constexpr double kDecreaseFactor = 0.7;
 // Added over as many answers as attempts are out.
-constexpr double kIncrease = 0.3;
+constexpr double kIncreasePerWindow = 0.3;
 
 }  // namespace
 
-void ConcurrencyLimit::OnLoad(const TargetLoad& load,
-                              size_t slots,
-                              size_t cap) {
-  const auto most = static_cast<double>(std::max<size_t>(cap, 1));
-  const double rounds = static_cast<double>(load.waiting) /
-                        static_cast<double>(std::max<size_t>(slots, 1));
-  const double held = this->limit > 0 ? this->limit : most;
-  this->limit = rounds > kMostQueueRounds
-                    ? std::max(1.0, held * kDecrease)
-                    : std::min(most, held + kIncrease / held);
+void ConcurrencyLimit::OnLoadReport(const TargetLoad& load,
+                                    size_t slots,
+                                    size_t cap) {
+  const auto max_limit = static_cast<double>(std::max<size_t>(cap, 1));
+  const double waiting_per_slot =
+      static_cast<double>(load.waiting) /
+      static_cast<double>(std::max<size_t>(slots, 1));
+  const double current = this->limit > 0 ? this->limit : max_limit;
+  this->limit =
+      waiting_per_slot > kMaxWaitingPerSlot
+          ? std::max(1.0, current * kDecreaseFactor)
+          : std::min(max_limit, current + kIncreasePerWindow / current);
 }
 
-size_t ConcurrencyLimit::Allowed(size_t cap) const {
+size_t ConcurrencyLimit::MaxInFlight(size_t cap) const {
   if (this->limit <= 0) {
     return cap;
   }
--- a/knapweedroad/routing/concurrency_limit.h
+++ b/knapweedroad/routing/concurrency_limit.h
@@ -2,8 +2,8 @@
 // increase, multiplicative decrease bound by the queue that the target reports.
 //
 //   ConcurrencyLimit limit;
-//   limit.OnLoad(load, slots, cap);
-//   if (in_flight < limit.Allowed(cap)) Send();
+//   limit.OnLoadReport(load, slots, cap);
+//   if (in_flight < limit.MaxInFlight(cap)) Send();
 
 #ifndef KNAPWEEDROAD_ROUTING_CONCURRENCY_LIMIT_H_
 #define KNAPWEEDROAD_ROUTING_CONCURRENCY_LIMIT_H_
@@ -21,10 +21,10 @@
  public:
   // What the target reported with an answer or a refusal. `cap` bounds the
   // limit from above.
-  void OnLoad(const TargetLoad& load, size_t slots, size_t cap);
+  void OnLoadReport(const TargetLoad& load, size_t slots, size_t cap);
 
   // At least one; `cap` until the target has reported a load.
-  size_t Allowed(size_t cap) const;
+  size_t MaxInFlight(size_t cap) const;
 
  private:
   // Zero: no report yet.
--- a/knapweedroad/routing/concurrency_limit_test.cc
+++ b/knapweedroad/routing/concurrency_limit_test.cc
@@ -17,30 +17,32 @@
 // hosts whose requests those were. Returns its longest queue after a while.
 size_t LongestQueue(std::array<ConcurrencyLimit, kHosts>& limits) {
   constexpr int kRounds = 400;
-  std::array<size_t, kHosts> out{};
+  std::array<size_t, kHosts> in_flight{};
   size_t longest = 0;
   size_t next = 0;
   for (int round = 0; round < kRounds; ++round) {
-    size_t all = 0;
+    size_t total = 0;
     for (size_t host = 0; host < kHosts; ++host) {
-      out[host] = std::max(out[host], limits[host].Allowed(kCap));
-      all += out[host];
+      in_flight[host] =
+          std::max(in_flight[host], limits[host].MaxInFlight(kCap));
+      total += in_flight[host];
     }
     if (round > kRounds / 2) {
-      longest = std::max(longest, all - std::min(all, kSlots));
+      longest = std::max(longest, total - std::min(total, kSlots));
     }
-    for (size_t ended = 0; ended < kSlots && all > 0; ++next) {
+    for (size_t completed = 0; completed < kSlots && total > 0; ++next) {
       const size_t host = next % kHosts;
-      if (out[host] == 0) {
+      if (in_flight[host] == 0) {
         continue;
       }
-      --out[host];
-      --all;
-      ++ended;
-      const size_t running = std::min(all, kSlots);
-      limits[host].OnLoad({.running = static_cast<uint32_t>(running),
-                           .waiting = static_cast<uint32_t>(all - running)},
-                          kSlots, kCap);
+      --in_flight[host];
+      --total;
+      ++completed;
+      const size_t running = std::min(total, kSlots);
+      limits[host].OnLoadReport(
+          {.running = static_cast<uint32_t>(running),
+           .waiting = static_cast<uint32_t>(total - running)},
+          kSlots, kCap);
     }
   }
   return longest;
@@ -60,17 +62,17 @@
 Test(concurrency_limit, without_a_queue_the_whole_cap_is_used_again) {
   ConcurrencyLimit limit;
   for (int i = 0; i < 20; ++i) {
-    limit.OnLoad({.running = 3, .waiting = 12}, kSlots, kCap);
+    limit.OnLoadReport({.running = 3, .waiting = 12}, kSlots, kCap);
   }
-  cr_expect_eq(limit.Allowed(kCap), 1);
+  cr_expect_eq(limit.MaxInFlight(kCap), 1);
   for (int i = 0; i < 30; ++i) {
-    limit.OnLoad({.running = 2, .waiting = 0}, kSlots, kCap);
+    limit.OnLoadReport({.running = 2, .waiting = 0}, kSlots, kCap);
   }
-  cr_expect_eq(limit.Allowed(kCap), kCap);
+  cr_expect_eq(limit.MaxInFlight(kCap), kCap);
 }
 
 Test(concurrency_limit, a_target_that_reports_no_load_may_get_the_cap) {
-  cr_expect_eq(ConcurrencyLimit().Allowed(kCap), kCap);
+  cr_expect_eq(ConcurrencyLimit().MaxInFlight(kCap), kCap);
 }
 
 }  // namespace
--- a/knapweedroad/routing/connection_share.h
+++ b/knapweedroad/routing/connection_share.h
@@ -3,7 +3,7 @@
 //
 //   ConnectionShare share;
 //   share.SetHosts(hosts, now);
-//   size_t most = share.CapOf(service.max_connections, now);
+//   size_t most = share.MaxPerTarget(service.max_connections, now);
 
 #ifndef KNAPWEEDROAD_ROUTING_CONNECTION_SHARE_H_
 #define KNAPWEEDROAD_ROUTING_CONNECTION_SHARE_H_
@@ -21,26 +21,26 @@
  public:
   // All entry hosts, this one among them.
   void SetHosts(std::vector<HostId> hosts, TimePoint now);
-  const std::vector<HostId>& hosts() const { return this->known; }
+  const std::vector<HostId>& hosts() const { return this->listed; }
   // How many share a target, at the most, as far as known; at least one.
   size_t host_count() const;
 
   // Connections to one target that bears `max_connections` from all hosts; at
   // least one.
-  size_t CapOf(size_t max_connections, TimePoint now) const;
+  size_t MaxPerTarget(size_t max_connections, TimePoint now) const;
 
   // To how many of a service's `targets` this host keeps connections.
   size_t SubsetSize(size_t targets, size_t max_connections) const;
 
  private:
   // Whether the list of hosts may still lack most of them.
-  bool IsListYoung(TimePoint now) const;
+  bool IsListSettling(TimePoint now) const;
 
-  std::vector<HostId> known;
+  std::vector<HostId> listed;
   // When the list last changed; none: never heard of any.
-  std::optional<TimePoint> changed;
+  std::optional<TimePoint> changed_at;
   // The most hosts of a list that was replaced a short while ago.
-  size_t before = 0;
+  size_t previous_count = 0;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/connection_share_test.cc
+++ b/knapweedroad/routing/connection_share_test.cc
@@ -28,8 +28,8 @@
       share.SetHosts(Hosts(hosts), kStart);
       constexpr size_t kTargets = 3;
       const TimePoint later = kStart + seconds(60);
-      const size_t held =
-          hosts * share.CapOf(cap, later) * share.SubsetSize(kTargets, cap);
+      const size_t held = hosts * share.MaxPerTarget(cap, later) *
+                          share.SubsetSize(kTargets, cap);
       // One connection a service is the least that a host can serve with.
       cr_expect(held <= std::max(kTargets * cap, hosts), "%zu hosts, cap %zu",
                 hosts, cap);
@@ -40,10 +40,11 @@
 // All hosts start at once and each believes to be alone.
 Test(connection_share, a_host_that_knows_few_others_yet_takes_little) {
   ConnectionShare share;
-  cr_expect(share.CapOf(74, kStart) <= 2);
+  cr_expect(share.MaxPerTarget(74, kStart) <= 2);
   share.SetHosts(Hosts(2), kStart);
-  cr_expect(share.CapOf(74, kStart + std::chrono::milliseconds(100)) <= 2);
-  cr_expect(share.CapOf(74, kStart + seconds(3)) > 2);
+  cr_expect(share.MaxPerTarget(74, kStart + std::chrono::milliseconds(100)) <=
+            2);
+  cr_expect(share.MaxPerTarget(74, kStart + seconds(3)) > 2);
 }
 
 // Half of the hosts drop out of a list for a moment and are back.
--- a/knapweedroad/routing/entry_host_lists.cc
+++ b/knapweedroad/routing/entry_host_lists.cc
@@ -5,28 +5,29 @@
 
 namespace knapweedroad {
 
-bool EntryHostLists::Learn(const HostId& control_host,
-                           std::optional<std::vector<EntryHostRecord>> hosts,
-                           TimePoint now) {
-  return this->lists.Learn(control_host, std::move(hosts), now) && this->Join();
+bool EntryHostLists::Update(const HostId& control_host,
+                            std::optional<std::vector<EntryHostRecord>> hosts,
+                            TimePoint now) {
+  return this->lists.Update(control_host, std::move(hosts), now) &&
+         this->MergeLists();
 }
 
-bool EntryHostLists::ForgetOld(TimePoint now) {
-  return this->lists.ForgetOld(now) && this->Join();
+bool EntryHostLists::ExpireLists(TimePoint now) {
+  return this->lists.ExpireLists(now) && this->MergeLists();
 }
 
-bool EntryHostLists::Join() {
-  std::map<HostId, const EntryHostRecord*> joined;
+bool EntryHostLists::MergeLists() {
+  std::map<HostId, const EntryHostRecord*> merged;
   this->lists.ForEach([&](const EntryHostRecord& record) {
-    joined.emplace(record.host, &record);
+    merged.emplace(record.host, &record);
   });
   // Hosts that lose all control hosts go on sharing what they shared.
-  if (joined.empty()) {
+  if (merged.empty()) {
     return false;
   }
   std::vector<EntryHostRecord> next;
-  next.reserve(joined.size());
-  for (const auto& [host, record] : joined) {
+  next.reserve(merged.size());
+  for (const auto& [host, record] : merged) {
     next.push_back(*record);
   }
   const bool is_changed = next != this->all;
--- a/knapweedroad/routing/entry_host_lists.h
+++ b/knapweedroad/routing/entry_host_lists.h
@@ -2,7 +2,7 @@
 // them.
 //
 //   EntryHostLists lists;
-//   if (lists.Learn(control_host, std::move(list), now)) Use(lists.All());
+//   if (lists.Update(control_host, std::move(list), now)) Use(lists.All());
 //
 // Answers the pattern of a control host that is cut off from others and lists
 // only the entry hosts that call it itself: what they share is divided by too
@@ -23,20 +23,20 @@
 
 class EntryHostLists {
  public:
-  // As ListsByControlHost::Learn(). True: All() has changed.
-  bool Learn(const HostId& control_host,
-             std::optional<std::vector<EntryHostRecord>> hosts,
-             TimePoint now);
+  // As ListsByControlHost::Update(). True: All() has changed.
+  bool Update(const HostId& control_host,
+              std::optional<std::vector<EntryHostRecord>> hosts,
+              TimePoint now);
 
   // Leaves out the lists of control hosts that no longer reply, but for the
   // last one. True: All() has changed.
-  bool ForgetOld(TimePoint now);
+  bool ExpireLists(TimePoint now);
 
   // Each host that any control host lists, once.
   const std::vector<EntryHostRecord>& All() const { return this->all; }
 
  private:
-  bool Join();
+  bool MergeLists();
 
   ListsByControlHost<EntryHostRecord> lists;
   std::vector<EntryHostRecord> all;
--- a/knapweedroad/routing/entry_host_lists_test.cc
+++ b/knapweedroad/routing/entry_host_lists_test.cc
@@ -11,8 +11,8 @@
 using std::chrono::seconds;
 
 const TimePoint kNow = TimePoint(std::chrono::hours(1));
-const HostId kCutOff("control-d");
-const HostId kOther("control-a");
+const HostId kIsolatedControl("control-d");
+const HostId kControl("control-a");
 
 std::vector<EntryHostRecord> Hosts(int count) {
   std::vector<EntryHostRecord> hosts;
@@ -27,28 +27,28 @@
 // part because a cut off control host lists it alone.
 Test(entry_host_lists, the_list_of_a_cut_off_control_host_hides_no_hosts) {
   EntryHostLists lists;
-  cr_expect(lists.Learn(kOther, Hosts(8), kNow));
-  cr_expect(not lists.Learn(kCutOff, Hosts(1), kNow));
+  cr_expect(lists.Update(kControl, Hosts(8), kNow));
+  cr_expect(not lists.Update(kIsolatedControl, Hosts(1), kNow));
   cr_expect(lists.All().size() == 8);
 }
 
 // Guards against hosts that left and are counted for good.
 Test(entry_host_lists, a_shorter_list_of_the_only_control_host_counts) {
   EntryHostLists lists;
-  lists.Learn(kOther, Hosts(8), kNow);
-  cr_expect(lists.Learn(kOther, Hosts(7), kNow + seconds(1)));
+  lists.Update(kControl, Hosts(8), kNow);
+  cr_expect(lists.Update(kControl, Hosts(7), kNow + seconds(1)));
   cr_expect(lists.All().size() == 7);
 }
 
 // Guards against the list of a control host that is no longer followed.
 Test(entry_host_lists, the_list_of_a_silent_control_host_is_forgotten) {
   EntryHostLists lists;
-  lists.Learn(kOther, Hosts(8), kNow);
-  lists.Learn(kCutOff, Hosts(7), kNow);
+  lists.Update(kControl, Hosts(8), kNow);
+  lists.Update(kIsolatedControl, Hosts(7), kNow);
   for (int i = 1; i <= 10; ++i) {
-    lists.Learn(kCutOff, std::nullopt, kNow + milliseconds(500 * i));
+    lists.Update(kIsolatedControl, std::nullopt, kNow + milliseconds(500 * i));
   }
-  cr_expect(lists.ForgetOld(kNow + seconds(5)));
+  cr_expect(lists.ExpireLists(kNow + seconds(5)));
   cr_expect(lists.All().size() == 7);
 }
 
@@ -56,11 +56,11 @@
 // it replies again that nothing has changed.
 Test(entry_host_lists, the_list_of_one_that_replies_again_still_holds) {
   EntryHostLists lists;
-  lists.Learn(kOther, Hosts(8), kNow);
-  lists.Learn(kCutOff, Hosts(1), kNow + seconds(4));
-  cr_expect(lists.ForgetOld(kNow + seconds(5)));
+  lists.Update(kControl, Hosts(8), kNow);
+  lists.Update(kIsolatedControl, Hosts(1), kNow + seconds(4));
+  cr_expect(lists.ExpireLists(kNow + seconds(5)));
   cr_expect(lists.All().size() == 1);
-  cr_expect(lists.Learn(kOther, std::nullopt, kNow + seconds(6)));
+  cr_expect(lists.Update(kControl, std::nullopt, kNow + seconds(6)));
   cr_expect(lists.All().size() == 8);
 }
 
@@ -68,8 +68,8 @@
 // entry hosts share.
 Test(entry_host_lists, the_last_list_stands_while_no_control_host_replies) {
   EntryHostLists lists;
-  lists.Learn(kOther, Hosts(8), kNow);
-  cr_expect(not lists.ForgetOld(kNow + seconds(60)));
+  lists.Update(kControl, Hosts(8), kNow);
+  cr_expect(not lists.ExpireLists(kNow + seconds(60)));
   cr_expect(lists.All().size() == 8);
 }
 
--- a/knapweedroad/routing/latency_window.cc
+++ b/knapweedroad/routing/latency_window.cc
@@ -6,19 +6,22 @@
 namespace knapweedroad {
 namespace {
 
-constexpr double kFirstNanoseconds = 1e5;
-constexpr double kStep = 1.1;
-constexpr uint32_t kMinCount = 20;
-constexpr uint32_t kMaxCount = 1000;
+constexpr double kFirstBucketNanoseconds = 1e5;
+constexpr double kBucketRatio = 1.1;
+constexpr uint32_t kMinSamples = 20;
+constexpr uint32_t kMaxSamples = 1000;
 
 }  // namespace
 
 void LatencyWindow::Add(Duration latency) {
-  const double ratio = static_cast<double>(latency.count()) / kFirstNanoseconds;
-  const double place = ratio <= 1 ? 0 : std::log(ratio) / std::log(kStep);
-  const size_t bucket = std::min(static_cast<size_t>(place), kBuckets - 1);
+  const double ratio =
+      static_cast<double>(latency.count()) / kFirstBucketNanoseconds;
+  const double position =
+      ratio <= 1 ? 0 : std::log(ratio) / std::log(kBucketRatio);
+  const size_t bucket =
+      std::min(static_cast<size_t>(position), kBucketCount - 1);
   ++this->counts[bucket];
-  if (++this->total < kMaxCount) {
+  if (++this->total < kMaxSamples) {
     return;
   }
   this->total = 0;
@@ -29,18 +32,20 @@
 }
 
 std::optional<Duration> LatencyWindow::Quantile(double quantile) const {
-  if (this->total < kMinCount) {
+  if (this->total < kMinSamples) {
     return std::nullopt;
   }
-  const double wanted = quantile * this->total;
-  double seen = 0;
+  const double rank = quantile * this->total;
+  double cumulative = 0;
   size_t bucket = 0;
-  while (bucket + 1 < kBuckets && seen + this->counts[bucket] < wanted) {
-    seen += this->counts[bucket];
+  while (bucket + 1 < kBucketCount &&
+         cumulative + this->counts[bucket] < rank) {
+    cumulative += this->counts[bucket];
     ++bucket;
   }
   const double nanoseconds =
-      kFirstNanoseconds * std::pow(kStep, static_cast<double>(bucket + 1));
+      kFirstBucketNanoseconds *
+      std::pow(kBucketRatio, static_cast<double>(bucket + 1));
   return Duration(static_cast<int64_t>(nanoseconds));
 }
 
--- a/knapweedroad/routing/latency_window.h
+++ b/knapweedroad/routing/latency_window.h
@@ -27,9 +27,9 @@
 
  private:
   // From 0.1 ms up, a tenth wider each: the last begins at about 50 s.
-  static constexpr size_t kBuckets = 138;
+  static constexpr size_t kBucketCount = 138;
 
-  std::array<uint16_t, kBuckets> counts{};
+  std::array<uint16_t, kBucketCount> counts{};
   uint32_t total = 0;
 };
 
--- a/knapweedroad/routing/lists_by_control_host.h
+++ b/knapweedroad/routing/lists_by_control_host.h
@@ -2,7 +2,7 @@
 // its whole list, which counts while it replies.
 //
 //   ListsByControlHost<TargetOutlier> lists;
-//   if (lists.Learn(control_host, std::move(list), now)) Apply(lists);
+//   if (lists.Update(control_host, std::move(list), now)) Apply(lists);
 
 #ifndef KNAPWEEDROAD_ROUTING_LISTS_BY_CONTROL_HOST_H_
 #define KNAPWEEDROAD_ROUTING_LISTS_BY_CONTROL_HOST_H_
@@ -22,14 +22,14 @@
  public:
   // Replaces what the control host listed before; nothing: that still holds.
   // True: what counts may have changed.
-  bool Learn(const HostId& control_host,
-             std::optional<std::vector<Item>> items,
-             TimePoint now) {
+  bool Update(const HostId& control_host,
+              std::optional<std::vector<Item>> items,
+              TimePoint now) {
     List& list = this->lists[control_host];
-    const bool counted = std::exchange(list.counts, true);
-    list.heard = now;
+    const bool was_active = std::exchange(list.is_active, true);
+    list.replied_at = now;
     if (!items) {
-      return !counted;
+      return !was_active;
     }
     list.items = *std::move(items);
     return true;
@@ -37,14 +37,14 @@
 
   // Leaves out the lists of control hosts that no longer reply. True: there
   // were.
-  bool ForgetOld(TimePoint now) {
+  bool ExpireLists(TimePoint now) {
     std::erase_if(this->lists, [now](const auto& entry) {
-      return now - entry.second.heard > kForgetAfter;
+      return now - entry.second.replied_at > kDropAfter;
     });
     bool is_changed = false;
     for (auto& [control_host, list] : this->lists) {
-      const bool is_silent = now - list.heard > kListMemory;
-      is_changed |= is_silent && std::exchange(list.counts, false);
+      const bool has_lapsed = now - list.replied_at > kActiveAfterReply;
+      is_changed |= has_lapsed && std::exchange(list.is_active, false);
     }
     return is_changed;
   }
@@ -53,7 +53,7 @@
   template <typename Visit>
   void ForEach(const Visit& visit) const {
     for (const auto& [control_host, list] : this->lists) {
-      if (!list.counts) {
+      if (!list.is_active) {
         continue;
       }
       for (const Item& item : list.items) {
@@ -65,15 +65,15 @@
  private:
   // A control host replies once a second at the least; its list counts for this
   // long after the last reply.
-  static constexpr Duration kListMemory = std::chrono::seconds(4);
+  static constexpr Duration kActiveAfterReply = std::chrono::seconds(4);
   // The list of one that replies again by then still holds: it may say that
   // nothing has changed.
-  static constexpr Duration kForgetAfter = std::chrono::minutes(10);
+  static constexpr Duration kDropAfter = std::chrono::minutes(10);
 
   struct List {
     std::vector<Item> items;
-    TimePoint heard;
-    bool counts = false;
+    TimePoint replied_at;
+    bool is_active = false;
   };
 
   std::map<HostId, List> lists;
--- a/knapweedroad/routing/load_balancer.cc
+++ b/knapweedroad/routing/load_balancer.cc
@@ -177,7 +177,7 @@
 
 size_t LoadBalancer::CapOf(const BalancedTarget& target, TimePoint now) const {
   const size_t most = target.service->max_connections;
-  return most == 0 ? 1 : this->share.CapOf(most, now);
+  return most == 0 ? 1 : this->share.MaxPerTarget(most, now);
 }
 
 // With more hosts than a target takes connections, each host keeps to a part of
@@ -206,7 +206,7 @@
 
 bool LoadBalancer::MayTry(const BalancedTarget& target, TimePoint now) const {
   if (!this->IsUsable(target, now) ||
-      target.in_flight >= target.limit.Allowed(this->CapOf(target, now))) {
+      target.in_flight >= target.limit.MaxInFlight(this->CapOf(target, now))) {
     return false;
   }
   if (!target.is_ejected) {
@@ -272,11 +272,11 @@
                           TimePoint now) {
   const bool is_scarce = now < this->connections_scarce_until;
   const CostContext context{
-      .usual_latency = target.service->latency,
-      .believes_others = this->random() % kIgnoreOutliersOneIn != 0,
+      .usual_latency_ns = target.service->latency,
+      .uses_shared_outcomes = this->random() % kIgnoreOutliersOneIn != 0,
       .zone_factor = this->ZoneCost(target, near_zones),
-      .is_other_part = !this->IsInSubset(target),
-      .takes_scarce_connection = is_scarce && this->options.is_connected &&
+      .is_outside_subset = !this->IsInSubset(target),
+      .needs_scarce_connection = is_scarce && this->options.is_connected &&
                                  !this->options.is_connected(target.record.id)};
   // Ties are broken by lot.
   return CostOf(target, context, now) *
--- a/knapweedroad/routing/load_balancer_outcomes.cc
+++ b/knapweedroad/routing/load_balancer_outcomes.cc
@@ -113,7 +113,8 @@
   }
   target.load = *load;
   target.load_at = now;
-  target.limit.OnLoad(*load, target.record.slots, this->CapOf(target, now));
+  target.limit.OnLoadReport(*load, target.record.slots,
+                            this->CapOf(target, now));
 }
 
 void LoadBalancer::OnAnswered(const TargetId& id,
@@ -331,13 +332,13 @@
 void LoadBalancer::LearnOutliers(const HostId& control_host,
                                  std::optional<std::vector<TargetOutlier>> told,
                                  TimePoint now) {
-  if (this->outliers.Learn(control_host, std::move(told), now)) {
+  if (this->outliers.Update(control_host, std::move(told), now)) {
     this->ApplyOutliers();
   }
 }
 
 void LoadBalancer::ForgetOldOutliers(TimePoint now) {
-  if (this->outliers.ForgetOld(now)) {
+  if (this->outliers.ExpireLists(now)) {
     this->ApplyOutliers();
   }
 }
@@ -347,7 +348,7 @@
     target.shared_failures = 0;
     target.shared_slowdown = 1;
   }
-  for (const auto& [id, outlier] : this->outliers.Worst()) {
+  for (const auto& [id, outlier] : this->outliers.WorstByTarget()) {
     if (BalancedTarget* const target = this->Get(id)) {
       target->shared_failures =
           static_cast<double>(outlier.failed) / TargetOutlier::kFailedUnits;
--- a/knapweedroad/routing/outlier_lists.cc
+++ b/knapweedroad/routing/outlier_lists.cc
@@ -4,12 +4,13 @@
 
 namespace knapweedroad {
 
-std::map<TargetId, TargetOutlier> OutlierLists::Worst() const {
+std::map<TargetId, TargetOutlier> OutlierLists::WorstByTarget() const {
   std::map<TargetId, TargetOutlier> worst;
   this->lists.ForEach([&](const TargetOutlier& outlier) {
-    TargetOutlier& held = worst.emplace(outlier.target, outlier).first->second;
-    held.failed = std::max(held.failed, outlier.failed);
-    held.slowdown = std::max(held.slowdown, outlier.slowdown);
+    TargetOutlier& combined =
+        worst.emplace(outlier.target, outlier).first->second;
+    combined.failed = std::max(combined.failed, outlier.failed);
+    combined.slowdown = std::max(combined.slowdown, outlier.slowdown);
   });
   return worst;
 }
--- a/knapweedroad/routing/outlier_lists.h
+++ b/knapweedroad/routing/outlier_lists.h
@@ -2,7 +2,7 @@
 // them.
 //
 //   OutlierLists lists;
-//   if (lists.Learn(control_host, std::move(outliers), now)) Apply(lists);
+//   if (lists.Update(control_host, std::move(outliers), now)) Apply(lists);
 
 #ifndef KNAPWEEDROAD_ROUTING_OUTLIER_LISTS_H_
 #define KNAPWEEDROAD_ROUTING_OUTLIER_LISTS_H_
@@ -21,22 +21,22 @@
 
 class OutlierLists {
  public:
-  // As ListsByControlHost::Learn(). True: Worst() may differ.
-  bool Learn(const HostId& control_host,
-             std::optional<std::vector<TargetOutlier>> outliers,
-             TimePoint now) {
+  // As ListsByControlHost::Update(). True: WorstByTarget() may differ.
+  bool Update(const HostId& control_host,
+              std::optional<std::vector<TargetOutlier>> outliers,
+              TimePoint now) {
     const bool is_changed =
-        this->lists.Learn(control_host, std::move(outliers), now);
-    return this->ForgetOld(now) || is_changed;
+        this->lists.Update(control_host, std::move(outliers), now);
+    return this->ExpireLists(now) || is_changed;
   }
 
   // Leaves out what control hosts that no longer reply have listed. True: there
   // was something.
-  bool ForgetOld(TimePoint now) { return this->lists.ForgetOld(now); }
+  bool ExpireLists(TimePoint now) { return this->lists.ExpireLists(now); }
 
   // Each listed target once. The worst that any control host says counts: one
   // that has just started has heard little yet.
-  std::map<TargetId, TargetOutlier> Worst() const;
+  std::map<TargetId, TargetOutlier> WorstByTarget() const;
 
  private:
   ListsByControlHost<TargetOutlier> lists;
--- a/knapweedroad/routing/outlier_lists_test.cc
+++ b/knapweedroad/routing/outlier_lists_test.cc
@@ -11,7 +11,7 @@
 const HostId kControl("control-a");
 const TargetId kTarget("t1");
 
-std::vector<TargetOutlier> Listed() {
+std::vector<TargetOutlier> Outliers() {
   return {{.target = kTarget, .failed = 4, .slowdown = 1}};
 }
 
@@ -19,19 +19,19 @@
 // listed it has gone.
 Test(outlier_lists, the_list_of_a_silent_control_host_counts_no_longer) {
   OutlierLists lists;
-  cr_expect(lists.Learn(kControl, Listed(), kNow));
-  cr_expect(lists.ForgetOld(kNow + seconds(5)));
-  cr_expect(lists.Worst().empty());
+  cr_expect(lists.Update(kControl, Outliers(), kNow));
+  cr_expect(lists.ExpireLists(kNow + seconds(5)));
+  cr_expect(lists.WorstByTarget().empty());
 }
 
 // Guards against targets in trouble that are used again because their control
 // host stood still, and then said that nothing has changed.
 Test(outlier_lists, the_list_of_one_that_replies_again_still_holds) {
   OutlierLists lists;
-  lists.Learn(kControl, Listed(), kNow);
-  lists.ForgetOld(kNow + seconds(5));
-  cr_expect(lists.Learn(kControl, std::nullopt, kNow + seconds(6)));
-  cr_expect(lists.Worst().contains(kTarget));
+  lists.Update(kControl, Outliers(), kNow);
+  lists.ExpireLists(kNow + seconds(5));
+  cr_expect(lists.Update(kControl, std::nullopt, kNow + seconds(6)));
+  cr_expect(lists.WorstByTarget().contains(kTarget));
 }
 
 }  // namespace
--- a/knapweedroad/routing/record_merge.cc
+++ b/knapweedroad/routing/record_merge.cc
@@ -9,17 +9,18 @@
 std::string MergeRecords(std::span<const std::string_view> parts, size_t top) {
   std::vector<std::string_view> records;
   for (const std::string_view part : parts) {
-    for (size_t at = 0; at + kRecordBytes <= part.size(); at += kRecordBytes) {
-      records.push_back(part.substr(at, kRecordBytes));
+    for (size_t offset = 0; offset + kRecordBytes <= part.size();
+         offset += kRecordBytes) {
+      records.push_back(part.substr(offset, kRecordBytes));
     }
   }
-  const size_t kept = std::min(top, records.size());
+  const size_t count = std::min(top, records.size());
   std::partial_sort(records.begin(),
-                    records.begin() + static_cast<std::ptrdiff_t>(kept),
+                    records.begin() + static_cast<std::ptrdiff_t>(count),
                     records.end(), std::greater<>());
   std::string merged;
-  merged.reserve(kept * kRecordBytes);
-  for (size_t i = 0; i < kept; ++i) {
+  merged.reserve(count * kRecordBytes);
+  for (size_t i = 0; i < count; ++i) {
     merged += records[i];
   }
   return merged;
--- a/knapweedroad/routing/relay_choice_test.cc
+++ b/knapweedroad/routing/relay_choice_test.cc
@@ -66,7 +66,7 @@
   RelayChoice relays = MakeChoice();
   std::set<ZoneId> first;
   for (int i = 0; i < 30; ++i) {
-    const std::vector<ZoneId> zones = relays.Zones(kStart);
+    const std::vector<ZoneId> zones = relays.AvailableZones(kStart);
     cr_assert(zones.size() == 2);
     first.insert(zones.front());
   }
@@ -78,13 +78,13 @@
 Test(relay_choice, a_host_that_owes_a_reply_is_not_called) {
   RelayChoice relays = MakeChoice();
   const HostId hanging = relays.Choose(kB, {}, kStart)->host;
-  const TimePoint due = kStart + milliseconds(70);
-  relays.OnCalled(hanging, due);
+  const TimePoint deadline = kStart + milliseconds(70);
+  relays.OnCalled(hanging, deadline);
   for (int i = 0; i < 10; ++i) {
     cr_expect(relays.Choose(kB, {}, kStart + milliseconds(80))->host !=
               hanging);
   }
-  relays.OnReplied(hanging, due);
+  relays.OnReplied(hanging, deadline);
   cr_expect(relays.Choose(kB, {}, kStart + milliseconds(90)).has_value());
 }
 
@@ -97,14 +97,15 @@
     relays.OnFailed(host, kStart + seconds(1), kStart);
   }
   cr_expect(!relays.Choose(kB, {}, kStart + milliseconds(500)).has_value());
-  cr_expect(relays.Zones(kStart + milliseconds(500)) == std::vector{kC});
+  cr_expect(relays.AvailableZones(kStart + milliseconds(500)) ==
+            std::vector{kC});
   cr_expect(relays.Choose(kB, {}, kStart + milliseconds(1100)).has_value());
 }
 
 Test(relay_choice, a_host_that_left_the_list_is_not_called) {
   RelayChoice relays = MakeChoice();
   relays.SetHosts({});
-  cr_expect(relays.Zones(kStart).empty());
+  cr_expect(relays.AvailableZones(kStart).empty());
   relays.OnCalled(HostId("b1"), kStart);
   relays.OnFailed(HostId("b1"), kStart, kStart);
 }
--- a/knapweedroad/routing/route_adoption.cc
+++ b/knapweedroad/routing/route_adoption.cc
@@ -9,8 +9,8 @@
 bool IsRouteServed(const RouteConfig& route,
                    const RouteAdoption::IsServed& is_served) {
   size_t served = 0;
-  for (const RouteService& part : route.services) {
-    served += is_served(part.service) ? 1 : 0;
+  for (const WeightedService& service : route.services) {
+    served += is_served(service.service) ? 1 : 0;
   }
   const double share =
       static_cast<double>(served) / static_cast<double>(route.services.size());
@@ -19,39 +19,41 @@
 
 void RouteAdoption::Offer(std::shared_ptr<const RouteTable> table,
                           TimePoint now) {
-  if (this->offered == nullptr) {
-    this->held_since = now;
+  if (this->pending == nullptr) {
+    this->pending_since = now;
   }
-  this->offered = std::move(table);
+  this->pending = std::move(table);
 }
 
-bool RouteAdoption::LosesService(const IsServed& is_served) const {
-  for (const RouteConfig& next : this->offered->config().routes) {
-    const RouteConfig* const held =
+bool RouteAdoption::WouldLoseRoute(const IsServed& is_served) const {
+  for (const RouteConfig& next : this->pending->config().routes) {
+    const RouteConfig* const previous =
         this->current->Find(next.host_name, next.path_prefix);
     const bool is_same_route =
-        held != nullptr && held->path_prefix == next.path_prefix;
-    if (!is_same_route || held->services == next.services) {
+        previous != nullptr && previous->path_prefix == next.path_prefix;
+    if (!is_same_route || previous->services == next.services) {
       continue;
     }
-    if (!IsRouteServed(next, is_served) && IsRouteServed(*held, is_served)) {
+    if (!IsRouteServed(next, is_served) &&
+        IsRouteServed(*previous, is_served)) {
       return true;
     }
   }
   return false;
 }
 
-std::shared_ptr<const RouteTable> RouteAdoption::Take(const IsServed& is_served,
-                                                      TimePoint now) {
-  if (this->offered == nullptr) {
+std::shared_ptr<const RouteTable> RouteAdoption::Adopt(
+    const IsServed& is_served,
+    TimePoint now) {
+  if (this->pending == nullptr) {
     return nullptr;
   }
-  const bool may_hold = this->current != nullptr &&
-                        now - this->held_since < this->options.most_hold;
-  if (may_hold && this->LosesService(is_served)) {
+  const bool may_wait = this->current != nullptr &&
+                        now - this->pending_since < this->options.max_hold;
+  if (may_wait && this->WouldLoseRoute(is_served)) {
     return nullptr;
   }
-  this->current = std::exchange(this->offered, nullptr);
+  this->current = std::exchange(this->pending, nullptr);
   return this->current;
 }
 
--- a/knapweedroad/routing/route_adoption.h
+++ b/knapweedroad/routing/route_adoption.h
@@ -1,8 +1,8 @@
 // Decides when a newer routing configuration comes in force on a host.
 //
-//   RouteAdoption adoption({.most_hold = 1200ms});
+//   RouteAdoption adoption({.max_hold = 1200ms});
 //   adoption.Offer(table, now);
-//   if (auto next = adoption.Take(is_served, now)) PutInForce(next);
+//   if (auto next = adoption.Adopt(is_served, now)) PutInForce(next);
 
 #ifndef KNAPWEEDROAD_ROUTING_ROUTE_ADOPTION_H_
 #define KNAPWEEDROAD_ROUTING_ROUTE_ADOPTION_H_
@@ -21,7 +21,7 @@
 struct RouteAdoptionOptions {
   // The longest that a version is held back. Well under the time within which
   // a version must be in force: it may have been on its way for a second.
-  Duration most_hold = std::chrono::milliseconds(1200);
+  Duration max_hold = std::chrono::milliseconds(1200);
 };
 
 // A version that would leave a route without usable targets, as those of a new
@@ -37,23 +37,23 @@
   void Offer(std::shared_ptr<const RouteTable> table, TimePoint now);
 
   // The version to put in force now; null: none.
-  std::shared_ptr<const RouteTable> Take(const IsServed& is_served,
-                                         TimePoint now);
+  std::shared_ptr<const RouteTable> Adopt(const IsServed& is_served,
+                                          TimePoint now);
 
   // Null until the first one.
   const std::shared_ptr<const RouteTable>& in_force() const {
     return this->current;
   }
-  bool is_holding() const { return this->offered != nullptr; }
+  bool has_pending() const { return this->pending != nullptr; }
 
  private:
-  bool LosesService(const IsServed& is_served) const;
+  bool WouldLoseRoute(const IsServed& is_served) const;
 
   RouteAdoptionOptions options;
   std::shared_ptr<const RouteTable> current;
-  std::shared_ptr<const RouteTable> offered;
+  std::shared_ptr<const RouteTable> pending;
   // When the first of the versions that are held back was offered.
-  TimePoint held_since;
+  TimePoint pending_since;
 };
 
 // Whether enough of the route's services have targets for an answer.
--- a/knapweedroad/routing/route_adoption_test.cc
+++ b/knapweedroad/routing/route_adoption_test.cc
@@ -28,9 +28,10 @@
       RoutingConfig{.version = version, .routes = {route}});
 }
 
-class Warm {
+class ServedServices {
  public:
-  explicit Warm(std::set<std::string> names) : names(std::move(names)) {}
+  explicit ServedServices(std::set<std::string> names)
+      : names(std::move(names)) {}
   bool operator()(const ServiceId& service) const {
     return this->names.contains(service.str());
   }
@@ -44,25 +45,25 @@
 Test(route_adoption, waits_until_the_new_shards_can_answer) {
   RouteAdoption adoption({});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
-  const Warm before({"a", "b", "c"});
-  cr_assert(adoption.Take(before, kStart) != nullptr);
+  const ServedServices before({"a", "b", "c"});
+  cr_assert(adoption.Adopt(before, kStart) != nullptr);
   adoption.Offer(Table(2, {"x", "y", "z"}), kStart);
-  cr_expect(adoption.Take(before, kStart + milliseconds(300)) == nullptr);
-  const Warm after({"a", "b", "c", "x", "y"});
-  const auto next = adoption.Take(after, kStart + milliseconds(400));
+  cr_expect(adoption.Adopt(before, kStart + milliseconds(300)) == nullptr);
+  const ServedServices after({"a", "b", "c", "x", "y"});
+  const auto next = adoption.Adopt(after, kStart + milliseconds(400));
   cr_assert(next != nullptr && next->version() == 2);
 }
 
 // The new shards' targets never come: the version is in force in time.
 Test(route_adoption, holds_no_version_for_long) {
-  RouteAdoption adoption({.most_hold = milliseconds(1200)});
-  const Warm before({"a", "b", "c"});
+  RouteAdoption adoption({.max_hold = milliseconds(1200)});
+  const ServedServices before({"a", "b", "c"});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
-  adoption.Take(before, kStart);
+  adoption.Adopt(before, kStart);
   adoption.Offer(Table(2, {"x", "y", "z"}), kStart);
   adoption.Offer(Table(3, {"x", "y", "z"}), kStart + milliseconds(1100));
-  cr_expect(adoption.Take(before, kStart + milliseconds(1150)) == nullptr);
-  const auto next = adoption.Take(before, kStart + milliseconds(1200));
+  cr_expect(adoption.Adopt(before, kStart + milliseconds(1150)) == nullptr);
+  const auto next = adoption.Adopt(before, kStart + milliseconds(1200));
   cr_assert(next != nullptr && next->version() == 3);
 }
 
@@ -70,9 +71,9 @@
 Test(route_adoption, does_not_wait_where_the_old_route_is_not_served) {
   RouteAdoption adoption({});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
-  adoption.Take(Warm({}), kStart);
+  adoption.Adopt(ServedServices({}), kStart);
   adoption.Offer(Table(2, {"x", "y", "z"}), kStart);
-  cr_expect(adoption.Take(Warm({"a"}), kStart) != nullptr);
+  cr_expect(adoption.Adopt(ServedServices({"a"}), kStart) != nullptr);
 }
 
 }  // namespace
--- a/knapweedroad/routing/route_config.h
+++ b/knapweedroad/routing/route_config.h
@@ -14,12 +14,13 @@
 namespace knapweedroad {
 
 // A service of a route and its part of the route's requests.
-struct RouteService {
+struct WeightedService {
   ServiceId service;
   // Relative to the route's other services; unused on a scatter route.
   double weight = 1;
 
-  friend bool operator==(const RouteService&, const RouteService&) = default;
+  friend bool operator==(const WeightedService&,
+                         const WeightedService&) = default;
 };
 
 struct RouteConfig {
@@ -36,7 +37,7 @@
   Duration latency_target{};
   // One: all requests go there. Several: by weight, or, on a scatter route,
   // every request goes to all of them.
-  std::vector<RouteService> services;
+  std::vector<WeightedService> services;
   bool is_scatter = false;
   // Targets that one request may be sent to, for each service of a scatter.
   size_t max_attempts = 1;
--- a/knapweedroad/routing/routing_test.cc
+++ b/knapweedroad/routing/routing_test.cc
@@ -5,7 +5,7 @@
 #include "knapweedroad/routing/latency_window.h"
 #include "knapweedroad/routing/record_merge.h"
 #include "knapweedroad/routing/route_table.h"
-#include "knapweedroad/routing/split_rotation.h"
+#include "knapweedroad/routing/weighted_round_robin.h"
 
 namespace knapweedroad {
 namespace {
@@ -55,17 +55,17 @@
                 .size() == 1);
 }
 
-Test(split_rotation, each_service_gets_its_weights_share_at_any_time) {
+Test(weighted_round_robin, each_service_gets_its_weights_share_at_any_time) {
   RouteConfig route = Route("r", "a", "/");
   route.services = {{.service = ServiceId("s"), .weight = 3},
                     {.service = ServiceId("t"), .weight = 1},
                     {.service = ServiceId("u"), .weight = 0}};
-  SplitRotation rotation;
-  std::map<std::string, int> got;
+  WeightedRoundRobin rotation;
+  std::map<std::string, int> counts;
   for (int i = 0; i < 400; ++i) {
-    ++got[rotation.Next(route).str()];
+    ++counts[rotation.Next(route).str()];
   }
-  cr_expect(got["s"] == 300 && got["t"] == 100 && got.count("u") == 0);
+  cr_expect(counts["s"] == 300 && counts["t"] == 100 && counts.count("u") == 0);
 }
 
 Test(record_merge, greatest_first_equal_ones_count_and_a_rest_does_not) {
--- a/knapweedroad/routing/target_cost.h
+++ b/knapweedroad/routing/target_cost.h
@@ -1,7 +1,7 @@
 // What an attempt on a target is expected to cost, to compare targets of one
 // service by: its latency in ns, made worse by load, failures and distance.
 //
-//   double cost = CostOf(state, {.usual_latency = 9e6}, now);
+//   double cost = CostOf(state, {.usual_latency_ns = 9e6}, now);
 
 #ifndef KNAPWEEDROAD_ROUTING_TARGET_COST_H_
 #define KNAPWEEDROAD_ROUTING_TARGET_COST_H_
@@ -14,15 +14,15 @@
 
 struct CostContext {
   // Of the service, in ns; zero: none known yet.
-  double usual_latency = 0;
+  double usual_latency_ns = 0;
   // Whether what other hosts say of the target counts.
-  bool believes_others = true;
+  bool uses_shared_outcomes = true;
   // How many times slower the target counts for the zone that it is in.
   double zone_factor = 1;
   // This host keeps no connections to it by plan.
-  bool is_other_part = false;
+  bool is_outside_subset = false;
   // It would need a new connection while targets are short of them.
-  bool takes_scarce_connection = false;
+  bool needs_scarce_connection = false;
 };
 
 double CostOf(const BalancedTarget& target,
--- a/knapweedroad/routing/split_rotation.h
+++ b/knapweedroad/routing/weighted_round_robin.h
@@ -1,11 +1,11 @@
 // Deals a route's requests out to its services in the proportions of their
 // weights, exactly over any longer run (smooth weighted round robin).
 //
-//   SplitRotation rotation;
+//   WeightedRoundRobin rotation;
 //   const ServiceId& service = rotation.Next(route);
 
-#ifndef KNAPWEEDROAD_ROUTING_SPLIT_ROTATION_H_
-#define KNAPWEEDROAD_ROUTING_SPLIT_ROTATION_H_
+#ifndef KNAPWEEDROAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
+#define KNAPWEEDROAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
 
 #include <string>
 #include <unordered_map>
@@ -15,7 +15,7 @@
 
 namespace knapweedroad {
 
-class SplitRotation {
+class WeightedRoundRobin {
  public:
   // Which service of the route takes the next request; one of weight 0 never
   // does. The route has at least one service of a weight above 0.
@@ -24,20 +24,20 @@
   // Drops the routes for which `keep` is false.
   template <typename Keep>
   void Prune(Keep keep) {
-    std::erase_if(this->by_route,
+    std::erase_if(this->state_by_route,
                   [&](const auto& entry) { return !keep(entry.first); });
   }
 
  private:
   struct State {
-    std::vector<RouteService> services;
+    std::vector<WeightedService> services;
     // How far each service is behind its share.
-    std::vector<double> owed;
+    std::vector<double> credits;
   };
 
-  std::unordered_map<std::string, State> by_route;
+  std::unordered_map<std::string, State> state_by_route;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_ROUTING_SPLIT_ROTATION_H_
+#endif  // KNAPWEEDROAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
