--- a/knapweedroad/routing/concurrency_limit.cc
+++ b/knapweedroad/routing/concurrency_limit.cc
@@ -6,11 +6,12 @@
 namespace knapweedroad {
 namespace {
 
-// Requests waiting at the target, over its slots: as many times its service
-// time is lost in the queue.
+// Waiting requests per slot of the target. A request spends this multiple of
+// the target's service time in the queue.
 constexpr double kMaxWaitingPerSlot = 0.7;
 constexpr double kDecreaseFactor = 0.7;
-// Added over as many answers as attempts are out.
+// Added to the limit in total over as many answers as the limit allows attempts
+// in flight.
 constexpr double kIncreasePerWindow = 0.3;
 
 }  // namespace
--- a/knapweedroad/routing/concurrency_limit.h
+++ b/knapweedroad/routing/concurrency_limit.h
@@ -1,5 +1,6 @@
-// How many attempts this host may have out on one target at once: an additive
-// increase, multiplicative decrease bound by the queue that the target reports.
+// Limits how many attempts one entry host has in flight to one target. The
+// limit follows additive increase, multiplicative decrease (AIMD), driven by
+// the queue length that the target reports.
 //
 //   ConcurrencyLimit limit;
 //   limit.OnLoadReport(load, slots, cap);
@@ -14,20 +15,24 @@
 
 namespace knapweedroad {
 
-// Keeps the queue at a target short. Targets serve in order of arrival, so a
-// long queue makes every answer late; with a short one what is sent is in time,
-// and the rest waits at its host, where giving it up costs the target nothing.
+// Keeps the queue at a target short. Targets serve requests in order of
+// arrival, so a long queue delays every answer. With a short queue, requests
+// that are sent are answered in time. The others wait on the entry host, where
+// dropping them costs the target nothing.
 class ConcurrencyLimit {
  public:
-  // What the target reported with an answer or a refusal. `cap` bounds the
-  // limit from above.
+  // Records the load that the target reported with an answer or a refusal.
+  // `slots` is the number of requests that the target runs at once. `cap` is
+  // the upper bound of the limit, in attempts.
   void OnLoadReport(const TargetLoad& load, size_t slots, size_t cap);
 
-  // At least one; `cap` until the target has reported a load.
+  // Returns the number of attempts that may be in flight at once: at least one
+  // and at most `cap`, which is at least one itself. Returns `cap` until the
+  // target has reported a load.
   size_t MaxInFlight(size_t cap) const;
 
  private:
-  // Zero: no report yet.
+  // Attempts in flight; zero until the first load report.
   double limit = 0;
 };
 
--- a/knapweedroad/routing/concurrency_limit_test.cc
+++ b/knapweedroad/routing/concurrency_limit_test.cc
@@ -12,9 +12,10 @@
 constexpr size_t kCap = 3;
 constexpr size_t kHosts = 8;
 
-// Eight hosts with more to send than one target of three slots gets through;
-// in each round it ends as many as it has slots and reports its queue to the
-// hosts whose requests those were. Returns its longest queue after a while.
+// Simulates eight hosts that have more requests than one target with three
+// slots can serve. In each round the target completes one request per slot and
+// reports its queue to the hosts that sent them. Returns the longest queue in
+// the second half of the simulation.
 size_t LongestQueue(std::array<ConcurrencyLimit, kHosts>& limits) {
   constexpr int kRounds = 400;
   std::array<size_t, kHosts> in_flight{};
@@ -48,18 +49,18 @@
   return longest;
 }
 
-// Two of three targets of a shard are gone, and every host fills the queue of
-// the third. Callers get all of its answers late, seven service times after
-// they were asked for. With bounds that follow its queue, twice its slots wait
-// at most: one request of each host, and one more now and then.
-Test(concurrency_limit, hosts_together_keep_a_short_queue) {
+// Guards against late answers when two of a shard's three targets are gone and
+// every host fills the queue of the third: each answer then took seven service
+// times. With the limit, at most about twice the target's slots wait: one
+// request of each host, and occasionally one more.
+Test(concurrency_limit, keeps_the_shared_queue_short) {
   std::array<ConcurrencyLimit, kHosts> limits;
   const size_t longest = LongestQueue(limits);
   cr_expect(longest <= 3 * kSlots, "%zu", longest);
 }
 
-// The targets are back. Each host may use all of its connections again.
-Test(concurrency_limit, without_a_queue_the_whole_cap_is_used_again) {
+// Guards against a limit that stays low after lost targets have come back.
+Test(concurrency_limit, rises_to_the_cap_again_without_a_queue) {
   ConcurrencyLimit limit;
   for (int i = 0; i < 20; ++i) {
     limit.OnLoadReport({.running = 3, .waiting = 12}, kSlots, kCap);
@@ -71,7 +72,7 @@
   cr_expect_eq(limit.MaxInFlight(kCap), kCap);
 }
 
-Test(concurrency_limit, a_target_that_reports_no_load_may_get_the_cap) {
+Test(concurrency_limit, equals_the_cap_before_the_first_load_report) {
   cr_expect_eq(ConcurrencyLimit().MaxInFlight(kCap), kCap);
 }
 
--- a/knapweedroad/routing/connection_share.cc
+++ b/knapweedroad/routing/connection_share.cc
@@ -6,14 +6,18 @@
 namespace knapweedroad {
 namespace {
 
-// Part of a target's connections that hosts plan with; the rest is for health
-// questions, hosts that restart, and hosts that aren't known yet.
+// The share of a target's connections that is divided among the hosts. The rest
+// is reserved for health checks, restarting hosts and hosts that aren't on the
+// list yet.
 constexpr double kUsableShare = 0.8;
-// A list of hosts that changed less than this ago may be half of it: after a
-// loss of power all hosts find control within a second or two.
+// A host list that changed more recently than kListSettleTime may lack half of
+// the hosts: after a power failure hosts reach the control hosts over a second
+// or two. Until then a host holds at most kSettlingLimit connections per
+// target.
 constexpr size_t kSettlingLimit = 2;
 constexpr Duration kListSettleTime = std::chrono::milliseconds(1500);
-// Hosts that left the list may be back, and hold their connections, for this.
+// Hosts that were removed from the list may still hold their connections, or
+// return, for this long.
 constexpr Duration kRemovedHostRetention = std::chrono::seconds(10);
 
 }  // namespace
@@ -39,9 +43,9 @@
   return !this->changed_at || now - *this->changed_at < kListSettleTime;
 }
 
-// A host that has just started and knows few others takes one or two
-// connections: if all took what is due to a lone host, targets would reset what
-// is over their cap, health questions included.
+// A host that has just started and lists few others opens only one or two
+// connections. If every host opened as many as a single host may, targets would
+// reset the connections above their limit, including those of health checks.
 size_t ConnectionShare::MaxPerTarget(size_t max_connections,
                                      TimePoint now) const {
   const double quota = static_cast<double>(max_connections) * kUsableShare /
--- a/knapweedroad/routing/connection_share_test.cc
+++ b/knapweedroad/routing/connection_share_test.cc
@@ -19,26 +19,28 @@
   return hosts;
 }
 
-// With more hosts than a target takes connections, every host's one connection
-// is one too many: each then keeps to a part of the targets.
-Test(connection_share, all_hosts_together_stay_under_a_targets_cap) {
+// Guards against exceeding a target's limit when there are more hosts than it
+// accepts connections: each host then connects to a subset of the targets.
+Test(connection_share, all_hosts_together_stay_below_a_targets_limit) {
   for (const size_t hosts : {9, 66, 83, 300}) {
-    for (const size_t cap : {26, 74, 560}) {
+    for (const size_t max_connections : {26, 74, 560}) {
       ConnectionShare share;
       share.SetHosts(Hosts(hosts), kStart);
       constexpr size_t kTargets = 3;
       const TimePoint later = kStart + seconds(60);
-      const size_t held = hosts * share.MaxPerTarget(cap, later) *
-                          share.SubsetSize(kTargets, cap);
-      // One connection a service is the least that a host can serve with.
-      cr_expect(held <= std::max(kTargets * cap, hosts), "%zu hosts, cap %zu",
-                hosts, cap);
+      const size_t connections = hosts *
+                                 share.MaxPerTarget(max_connections, later) *
+                                 share.SubsetSize(kTargets, max_connections);
+      // A host needs at least one connection for each service.
+      cr_expect(connections <= std::max(kTargets * max_connections, hosts),
+                "%zu hosts, %zu connections", hosts, max_connections);
     }
   }
 }
 
-// All hosts start at once and each believes to be alone.
-Test(connection_share, a_host_that_knows_few_others_yet_takes_little) {
+// Guards against hosts that start at the same time and each claim the share of
+// a single host, as their lists don't have the others yet.
+Test(connection_share, is_small_while_the_host_list_settles) {
   ConnectionShare share;
   cr_expect(share.MaxPerTarget(74, kStart) <= 2);
   share.SetHosts(Hosts(2), kStart);
@@ -47,8 +49,9 @@
   cr_expect(share.MaxPerTarget(74, kStart + seconds(3)) > 2);
 }
 
-// Half of the hosts drop out of a list for a moment and are back.
-Test(connection_share, hosts_that_have_just_gone_still_count) {
+// Guards against shares that grow when half of the hosts are missing from the
+// list for a moment.
+Test(connection_share, recently_removed_hosts_still_count) {
   ConnectionShare share;
   share.SetHosts(Hosts(40), kStart);
   share.SetHosts(Hosts(20), kStart + seconds(5));
--- a/knapweedroad/routing/entry_host_lists.cc
+++ b/knapweedroad/routing/entry_host_lists.cc
@@ -21,7 +21,7 @@
   this->lists.ForEach([&](const EntryHostRecord& record) {
     merged.emplace(record.host, &record);
   });
-  // Hosts that lose all control hosts go on sharing what they shared.
+  // A host that loses all control hosts keeps its previous shares of limits.
   if (merged.empty()) {
     return false;
   }
--- a/knapweedroad/routing/entry_host_lists_test.cc
+++ b/knapweedroad/routing/entry_host_lists_test.cc
@@ -23,25 +23,25 @@
   return hosts;
 }
 
-// Guards against an entry host that takes the whole retry budget for its own
-// part because a cut off control host lists it alone.
-Test(entry_host_lists, the_list_of_a_cut_off_control_host_hides_no_hosts) {
+// Guards against an entry host that uses the whole retry budget because a
+// control host that is cut off from the others lists only that entry host.
+Test(entry_host_lists, the_list_of_an_isolated_control_host_hides_no_hosts) {
   EntryHostLists lists;
   cr_expect(lists.Update(kControl, Hosts(8), kNow));
   cr_expect(not lists.Update(kIsolatedControl, Hosts(1), kNow));
   cr_expect(lists.All().size() == 8);
 }
 
-// Guards against hosts that left and are counted for good.
-Test(entry_host_lists, a_shorter_list_of_the_only_control_host_counts) {
+// Guards against hosts that have left and are still counted.
+Test(entry_host_lists, a_shorter_list_of_the_only_control_host_is_used) {
   EntryHostLists lists;
   lists.Update(kControl, Hosts(8), kNow);
   cr_expect(lists.Update(kControl, Hosts(7), kNow + seconds(1)));
   cr_expect(lists.All().size() == 7);
 }
 
-// Guards against the list of a control host that is no longer followed.
-Test(entry_host_lists, the_list_of_a_silent_control_host_is_forgotten) {
+// Guards against using the list of a control host that is no longer followed.
+Test(entry_host_lists, the_list_of_a_silent_control_host_expires) {
   EntryHostLists lists;
   lists.Update(kControl, Hosts(8), kNow);
   lists.Update(kIsolatedControl, Hosts(7), kNow);
@@ -52,9 +52,9 @@
   cr_expect(lists.All().size() == 7);
 }
 
-// Guards against a control host that stood still, and whose list is lost when
-// it replies again that nothing has changed.
-Test(entry_host_lists, the_list_of_one_that_replies_again_still_holds) {
+// Guards against the loss of a list whose control host paused and then reported
+// that nothing has changed.
+Test(entry_host_lists, an_unchanged_list_is_active_again_after_a_pause) {
   EntryHostLists lists;
   lists.Update(kControl, Hosts(8), kNow);
   lists.Update(kIsolatedControl, Hosts(1), kNow + seconds(4));
@@ -64,9 +64,9 @@
   cr_expect(lists.All().size() == 8);
 }
 
-// Guards against a host that loses all control hosts and takes everything that
-// entry hosts share.
-Test(entry_host_lists, the_last_list_stands_while_no_control_host_replies) {
+// Guards against a host that loses all control hosts and then claims all of the
+// limits that entry hosts share.
+Test(entry_host_lists, the_last_list_is_kept_while_no_control_host_replies) {
   EntryHostLists lists;
   lists.Update(kControl, Hosts(8), kNow);
   cr_expect(not lists.ExpireLists(kNow + seconds(60)));
--- a/knapweedroad/routing/lists_by_control_host.h
+++ b/knapweedroad/routing/lists_by_control_host.h
@@ -1,5 +1,5 @@
-// What each control host that this host follows lists of something: each tells
-// its whole list, which counts while it replies.
+// Keeps the latest list of items from each control host that this host follows.
+// A list is active while its control host replies.
 //
 //   ListsByControlHost<TargetOutlier> lists;
 //   if (lists.Update(control_host, std::move(list), now)) Apply(lists);
@@ -17,11 +17,13 @@
 
 namespace knapweedroad {
 
+// Each control host sends its whole list, or nothing if the list is unchanged.
 template <typename Item>
 class ListsByControlHost {
  public:
-  // Replaces what the control host listed before; nothing: that still holds.
-  // True: what counts may have changed.
+  // Records a reply of the control host at `now`. `items` replaces its previous
+  // list; if absent, the previous list stays valid. Returns whether the items
+  // of the active lists may have changed.
   bool Update(const HostId& control_host,
               std::optional<std::vector<Item>> items,
               TimePoint now) {
@@ -35,8 +37,8 @@
     return true;
   }
 
-  // Leaves out the lists of control hosts that no longer reply. True: there
-  // were.
+  // Deactivates the lists of control hosts that have stopped replying. Returns
+  // whether there were any. Must be called periodically.
   bool ExpireLists(TimePoint now) {
     std::erase_if(this->lists, [now](const auto& entry) {
       return now - entry.second.replied_at > kDropAfter;
@@ -49,7 +51,8 @@
     return is_changed;
   }
 
-  // Each item of each list that counts.
+  // Calls `visit` with each item of each active list. An item on several lists
+  // is visited once for each of them.
   template <typename Visit>
   void ForEach(const Visit& visit) const {
     for (const auto& [control_host, list] : this->lists) {
@@ -63,11 +66,11 @@
   }
 
  private:
-  // A control host replies once a second at the least; its list counts for this
-  // long after the last reply.
+  // How long a list stays active after the last reply of its control host,
+  // which replies at least once a second.
   static constexpr Duration kActiveAfterReply = std::chrono::seconds(4);
-  // The list of one that replies again by then still holds: it may say that
-  // nothing has changed.
+  // How long an inactive list is kept. A control host that replies again within
+  // this time may report only that nothing has changed.
   static constexpr Duration kDropAfter = std::chrono::minutes(10);
 
   struct List {
--- a/knapweedroad/routing/outlier_lists.h
+++ b/knapweedroad/routing/outlier_lists.h
@@ -1,5 +1,5 @@
-// Which targets are outliers, as the control hosts of this host's zone list
-// them.
+// Combines the lists of outlier targets, those with unusually many failures or
+// high latency, from the control hosts that this host follows.
 //
 //   OutlierLists lists;
 //   if (lists.Update(control_host, std::move(outliers), now)) Apply(lists);
@@ -19,9 +19,12 @@
 
 namespace knapweedroad {
 
+// Stops using the list of a control host a few seconds after its last reply.
 class OutlierLists {
  public:
-  // As ListsByControlHost::Update(). True: WorstByTarget() may differ.
+  // Records a reply of the control host at `now`. `outliers` replaces its
+  // previous list; if absent, the previous list stays valid. Returns whether
+  // WorstByTarget() may have changed.
   bool Update(const HostId& control_host,
               std::optional<std::vector<TargetOutlier>> outliers,
               TimePoint now) {
@@ -30,12 +33,14 @@
     return this->ExpireLists(now) || is_changed;
   }
 
-  // Leaves out what control hosts that no longer reply have listed. True: there
-  // was something.
+  // Deactivates the lists of control hosts that have stopped replying. Returns
+  // whether WorstByTarget() may have changed. Must be called periodically.
   bool ExpireLists(TimePoint now) { return this->lists.ExpireLists(now); }
 
-  // Each listed target once. The worst that any control host says counts: one
-  // that has just started has heard little yet.
+  // Returns each listed target with the highest failure and slowdown values
+  // that any control host reports. A control host that has just started has
+  // received few outcomes, so its lower values aren't used to reduce those of
+  // others.
   std::map<TargetId, TargetOutlier> WorstByTarget() const;
 
  private:
--- a/knapweedroad/routing/outlier_lists_test.cc
+++ b/knapweedroad/routing/outlier_lists_test.cc
@@ -15,18 +15,18 @@
   return {{.target = kTarget, .failed = 4, .slowdown = 1}};
 }
 
-// Guards against hosts that avoid a target for good after the control host that
-// listed it has gone.
-Test(outlier_lists, the_list_of_a_silent_control_host_counts_no_longer) {
+// Guards against hosts that avoid a target permanently after the control host
+// that listed it has gone.
+Test(outlier_lists, the_list_of_a_silent_control_host_expires) {
   OutlierLists lists;
   cr_expect(lists.Update(kControl, Outliers(), kNow));
   cr_expect(lists.ExpireLists(kNow + seconds(5)));
   cr_expect(lists.WorstByTarget().empty());
 }
 
-// Guards against targets in trouble that are used again because their control
-// host stood still, and then said that nothing has changed.
-Test(outlier_lists, the_list_of_one_that_replies_again_still_holds) {
+// Guards against the loss of a list whose control host paused and then reported
+// that nothing has changed: hosts would use the failing targets again.
+Test(outlier_lists, an_unchanged_list_is_active_again_after_a_pause) {
   OutlierLists lists;
   lists.Update(kControl, Outliers(), kNow);
   lists.ExpireLists(kNow + seconds(5));
--- a/knapweedroad/routing/record_limit.cc
+++ b/knapweedroad/routing/record_limit.cc
@@ -8,20 +8,22 @@
 namespace knapweedroad {
 namespace {
 
-// Records beyond the expected number, in standard deviations.
+// Records to request beyond the expected number, in standard deviations.
 constexpr double kStandardDeviations = 4;
 constexpr double kMinExtraRecords = 2;
-// One cut that was not enough weighs as much as hundreds that were.
+// One limit that was too low changes the factor as much as hundreds of limits
+// that were high enough.
 constexpr double kRaiseFactor = 1.5;
 constexpr double kDecayFactor = 0.999;
 constexpr double kMaxFactor = 100;
 
-// The heads of one exchange with a target beside the caller's request, and what
-// a gathered part takes in the call and the reply, in bytes.
+// Headers of one exchange with a target, in addition to the caller's request.
 constexpr double kExchangeHeaderBytes = 260;
+// Overhead of one gathered part in the gather call and its reply.
 constexpr double kGatheredPartBytes = 75;
 constexpr double kGatherCallBytes = 200;
-// Gathering has to be cheaper by this much to be worth a second host's work.
+// Gathering takes work on a second host, so its bytes must be below this share
+// of those of direct requests.
 constexpr double kMaxCostRatio = 0.85;
 
 }  // namespace
--- a/knapweedroad/routing/record_limit_test.cc
+++ b/knapweedroad/routing/record_limit_test.cc
@@ -21,11 +21,11 @@
   return record;
 }
 
-Test(record_limit, it_asks_for_a_little_more_than_the_share) {
+Test(record_limit, requests_slightly_more_than_the_expected_records) {
   const RecordLimit limit;
-  const size_t wanted =
+  const size_t requested =
       limit.RecordsToRequest({.parts = 9, .shards = 36, .top_records = 50});
-  cr_expect(wanted > 20 && wanted < 35, "%zu", wanted);
+  cr_expect(requested > 20 && requested < 35, "%zu", requested);
   cr_expect(limit.RecordsToRequest(
                 {.parts = 1, .shards = 36, .top_records = 50}) < 12);
   cr_expect(limit.RecordsToRequest(
@@ -34,9 +34,9 @@
       limit.RecordsToRequest({.parts = 3, .shards = 3, .top_records = 5}) == 5);
 }
 
-// Guards against an index whose greatest records all lie in a few shards: each
-// question would have to ask twice.
-Test(record_limit, it_holds_less_back_where_that_was_not_enough) {
+// Guards against two requests for each answer where the greatest records of an
+// index are all in a few shards.
+Test(record_limit, rises_when_records_were_missing) {
   RecordLimit limit;
   for (int i = 0; i < 10; ++i) {
     limit.OnMerged(false);
@@ -50,7 +50,7 @@
                 {.parts = 1, .shards = 36, .top_records = 50}) < 12);
 }
 
-Test(record_limit, what_is_smaller_than_the_answers_last_record_is_not_needed) {
+Test(record_limit, records_below_the_answers_last_record_are_not_needed) {
   const std::string answer = Record(9) + Record(8) + Record(5);
   cr_expect(!MayNeedWithheld(answer, 3,
                              {.sent = Record(8) + Record(5), .withheld = 4}));
@@ -62,11 +62,11 @@
 }
 
 // Guards against an answer that lacks one of the greatest records.
-Test(record_limit, an_answer_without_need_of_more_is_exact) {
+Test(record_limit, an_answer_that_needs_no_withheld_records_is_exact) {
   std::mt19937 random(7);
   constexpr size_t kTop = 20;
   constexpr size_t kParts = 12;
-  int needed_runs = 0;
+  int runs_needing_more = 0;
   for (int run = 0; run < 300; ++run) {
     std::vector<std::string> parts(kParts);
     for (std::string& part : parts) {
@@ -74,31 +74,33 @@
         part += Record(random() % 400);
       }
     }
-    const auto merge = [](const std::vector<std::string>& of, size_t top) {
-      const std::vector<std::string_view> views(of.begin(), of.end());
+    const auto merge = [](const std::vector<std::string>& merged, size_t top) {
+      const std::vector<std::string_view> views(merged.begin(), merged.end());
       return MergeRecords(views, top);
     };
     const std::string exact = merge(parts, kTop);
     const std::vector<std::string> remote(parts.begin(), parts.begin() + 4);
     const std::string gathered = merge(remote, kTop);
-    const size_t wanted =
+    const size_t requested =
         RecordLimit().RecordsToRequest(
             {.parts = 4, .shards = kParts, .top_records = kTop}) /
         2;
-    const std::string sent = gathered.substr(0, wanted * kRecordBytes);
-    std::vector<std::string> known(parts.begin() + 4, parts.end());
-    known.push_back(sent);
-    const std::string answer = merge(known, kTop);
+    const std::string sent = gathered.substr(0, requested * kRecordBytes);
+    std::vector<std::string> received(parts.begin() + 4, parts.end());
+    received.push_back(sent);
+    const std::string answer = merge(received, kTop);
     const bool needs_more = MayNeedWithheld(
-        answer, kTop, {.sent = sent, .withheld = kTop - wanted});
-    needed_runs += needs_more ? 1 : 0;
+        answer, kTop, {.sent = sent, .withheld = kTop - requested});
+    runs_needing_more += needs_more ? 1 : 0;
     cr_expect(needs_more || answer == exact);
   }
-  cr_expect(needed_runs > 0 && needed_runs < 300, "%d", needed_runs);
+  cr_expect(runs_needing_more > 0 && runs_needing_more < 300, "%d",
+            runs_needing_more);
 }
 
-// Answers the pattern of few parts, or small ones: a call costs as much.
-Test(record_limit, few_small_parts_go_by_themselves) {
+// Guards against gathering a few small parts, whose gather call would take as
+// many bytes as requesting them directly.
+Test(record_limit, few_small_parts_are_requested_directly) {
   const auto cheaper = [](size_t parts, double bytes, size_t records) {
     return IsGatheringCheaper({.parts = parts,
                                .part_bytes = bytes,
--- a/knapweedroad/routing/record_merge.h
+++ b/knapweedroad/routing/record_merge.h
@@ -1,4 +1,4 @@
-// Merges the parts of a scatter's answer: the greatest records, greatest first.
+// Merges the parts of a scatter answer, each the records of one shard.
 //
 //   std::string body = MergeRecords(parts, 10);
 
@@ -12,11 +12,12 @@
 
 namespace knapweedroad {
 
+// Size of a record, whose bytes are also its sort key.
 inline constexpr size_t kRecordBytes = 16;
 
-// The greatest `top` records of all parts by byte order, falling; equal ones
-// each count. What is left at a part's end and is shorter than a record is no
-// record.
+// Returns the `top` greatest records of all parts by byte order, in descending
+// order, or all records if there are fewer. Equal records are all included.
+// Trailing bytes of a part that are shorter than a record are ignored.
 std::string MergeRecords(std::span<const std::string_view> parts, size_t top);
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/relay_choice.h
+++ b/knapweedroad/routing/relay_choice.h
@@ -1,11 +1,12 @@
-// Which entry hosts of other zones gather parts for this one.
+// Chooses the relays of an entry host: entry hosts of other zones that gather
+// parts of an answer from the targets in their zone.
 //
 //   RelayChoice relays({.self = name, .zone = zone});
 //   relays.SetHosts(entry_hosts);
 //   std::vector<ZoneId> zones = relays.AvailableZones(now);
-//   if (const auto relay = relays.Choose(zones.front(), known, now)) ...
-//   relays.OnCalled(relay->host, due, now);
-//   relays.OnReplied(relay->host, due);
+//   if (const auto relay = relays.Choose(zones.front(), preferred, now)) ...
+//   relays.OnCalled(relay->host, deadline);
+//   relays.OnReplied(relay->host, deadline);
 
 #ifndef KNAPWEEDROAD_ROUTING_RELAY_CHOICE_H_
 #define KNAPWEEDROAD_ROUTING_RELAY_CHOICE_H_
@@ -26,34 +27,44 @@
 namespace knapweedroad {
 
 struct RelayChoiceOptions {
+  // This host and its zone.
   HostId self;
   ZoneId zone;
-  // Hosts of each other zone that this one may call, drawn differently by each
-  // host: each keeps a connection to them.
+  // The number of hosts of each other zone that this host may call. It is kept
+  // low because each host holds a connection to its relays. Different hosts
+  // select different relays.
   size_t hosts_per_zone = 2;
-  // A host that failed or refused isn't called for this long.
+  // How long a host isn't chosen after it failed or refused a call.
   Duration avoid_after_failure = std::chrono::seconds(1);
+  // Seeds the order of zones.
   uint64_t seed = 1;
 };
 
+// Spreads the calls of all entry hosts over all hosts of the other zones, and
+// avoids hosts that failed recently or have a reply overdue.
 class RelayChoice {
  public:
   explicit RelayChoice(RelayChoiceOptions options);
 
+  // Replaces the list of entry hosts. Hosts that stay relays keep their state.
   void SetHosts(std::span<const EntryHostRecord> hosts);
 
-  // Other zones with a host that may be called now, in an order drawn by lot:
-  // so each zone's targets get their share.
+  // Returns the other zones that have a host available now. The order is
+  // random, so that the targets of each zone get an equal share of the
+  // requests.
   std::vector<ZoneId> AvailableZones(TimePoint now);
 
-  // Of that zone's hosts one of those `known` already to the request, else the
-  // one with the fewest calls out; nothing if none may be called.
+  // Returns an available host of that zone: one in `preferred`, the hosts that
+  // the request already uses, or else the one with the fewest calls in flight.
+  // Returns nothing if none is available.
   std::optional<EntryHostRecord> Choose(const ZoneId& zone,
                                         std::span<const HostId> preferred,
                                         TimePoint now);
 
-  // Each call is OnCalled() once, then one of the others once. One that has no
-  // reply when it is `due` keeps its host from being chosen.
+  // Record a call and its end. For each call, OnCalled() is called once, and
+  // then either OnReplied() or OnFailed() with the same deadline. A host isn't
+  // chosen while one of its calls is past its deadline. Hosts that are not on
+  // the list are ignored.
   void OnCalled(const HostId& host, TimePoint deadline);
   void OnReplied(const HostId& host, TimePoint deadline);
   void OnFailed(const HostId& host, TimePoint deadline, TimePoint now);
--- a/knapweedroad/routing/relay_choice_test.cc
+++ b/knapweedroad/routing/relay_choice_test.cc
@@ -35,7 +35,7 @@
   return relays;
 }
 
-Test(relay_choice, each_host_keeps_to_a_few_of_another_zone) {
+Test(relay_choice, each_host_uses_a_few_hosts_of_another_zone) {
   RelayChoice relays = MakeChoice();
   std::set<HostId> used;
   for (int i = 0; i < 50; ++i) {
@@ -49,7 +49,7 @@
   cr_expect(!relays.Choose(kA, {}, kStart).has_value());
 }
 
-// Guards against a few hosts that gather for all the others.
+// Guards against a few hosts that gather parts for all others.
 Test(relay_choice, hosts_together_use_all_hosts_of_a_zone) {
   std::set<HostId> used;
   for (int i = 0; i < 40; ++i) {
@@ -62,7 +62,7 @@
   cr_expect(used.size() == 8, "%zu", used.size());
 }
 
-Test(relay_choice, zones_take_turns) {
+Test(relay_choice, zones_come_in_random_order) {
   RelayChoice relays = MakeChoice();
   std::set<ZoneId> first;
   for (int i = 0; i < 30; ++i) {
@@ -73,9 +73,9 @@
   cr_expect(first.size() == 2);
 }
 
-// Guards against callers who wait for a host that hangs: its connection stands,
-// and no reply comes.
-Test(relay_choice, a_host_that_owes_a_reply_is_not_called) {
+// Guards against callers that wait for a host that hangs: its connection stays
+// open, and no reply arrives.
+Test(relay_choice, a_host_with_an_overdue_reply_is_not_chosen) {
   RelayChoice relays = MakeChoice();
   const HostId hanging = relays.Choose(kB, {}, kStart)->host;
   const TimePoint deadline = kStart + milliseconds(70);
@@ -88,8 +88,9 @@
   cr_expect(relays.Choose(kB, {}, kStart + milliseconds(90)).has_value());
 }
 
-// Guards against calls into a zone that is cut off, or to a host that is gone.
-Test(relay_choice, a_host_that_failed_is_left_alone_for_a_while) {
+// Guards against repeated calls to a zone that is cut off or a host that is
+// gone.
+Test(relay_choice, a_host_that_failed_is_avoided_for_a_while) {
   RelayChoice relays = MakeChoice();
   for (int i = 0; i < 2; ++i) {
     const HostId host = relays.Choose(kB, {}, kStart)->host;
@@ -102,7 +103,7 @@
   cr_expect(relays.Choose(kB, {}, kStart + milliseconds(1100)).has_value());
 }
 
-Test(relay_choice, a_host_that_left_the_list_is_not_called) {
+Test(relay_choice, a_host_that_left_the_list_is_not_chosen) {
   RelayChoice relays = MakeChoice();
   relays.SetHosts({});
   cr_expect(relays.AvailableZones(kStart).empty());
--- a/knapweedroad/routing/route_adoption_test.cc
+++ b/knapweedroad/routing/route_adoption_test.cc
@@ -40,8 +40,8 @@
   std::set<std::string> names;
 };
 
-// An index is cut anew; the version that names the new shards comes a second
-// before their targets are warm. Every question in that second was refused.
+// Guards against refused requests when an index is resharded and the version
+// with the new shards arrives a second before their targets are warm.
 Test(route_adoption, waits_until_the_new_shards_can_answer) {
   RouteAdoption adoption({});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
@@ -54,8 +54,9 @@
   cr_assert(next != nullptr && next->version() == 2);
 }
 
-// The new shards' targets never come: the version is in force in time.
-Test(route_adoption, holds_no_version_for_long) {
+// Guards against a version that never takes effect because the new shards'
+// targets never start.
+Test(route_adoption, holds_a_version_back_for_a_limited_time) {
   RouteAdoption adoption({.max_hold = milliseconds(1200)});
   const ServedServices before({"a", "b", "c"});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
@@ -67,7 +68,8 @@
   cr_assert(next != nullptr && next->version() == 3);
 }
 
-// Nothing is won by waiting where the old shards are gone as well.
+// Guards against a useless delay when the targets of the old shards are gone
+// too.
 Test(route_adoption, does_not_wait_where_the_old_route_is_not_served) {
   RouteAdoption adoption({});
   adoption.Offer(Table(1, {"a", "b", "c"}), kStart);
--- a/knapweedroad/routing/route_config.h
+++ b/knapweedroad/routing/route_config.h
@@ -1,5 +1,5 @@
-// One route of a routing configuration: which requests it takes, which
-// services run them, and what their callers expect.
+// One route of a routing configuration: which requests it matches, which
+// services run them, and the limits that apply to them.
 
 #ifndef KNAPWEEDROAD_ROUTING_ROUTE_CONFIG_H_
 #define KNAPWEEDROAD_ROUTING_ROUTE_CONFIG_H_
@@ -13,37 +13,46 @@
 
 namespace knapweedroad {
 
-// A service of a route and its part of the route's requests.
+// A service of a route and its share of the route's requests.
 struct WeightedService {
   ServiceId service;
-  // Relative to the route's other services; unused on a scatter route.
+  // Relative to the weights of the route's other services; not used for a
+  // scatter route, except that a weight must not be negative and their sum must
+  // be above 0.
   double weight = 1;
 
   friend bool operator==(const WeightedService&,
                          const WeightedService&) = default;
 };
 
+// A request takes the route that has its host name and the longest prefix of
+// its path. CheckRouting() reports invalid values.
 struct RouteConfig {
   std::string name;
-  // Lower case, without a port.
+  // Without a port; compared without regard to case.
   std::string host_name;
   // Begins and ends with a slash.
   std::string path_prefix;
   // Whether a request may run more than once without harm.
   bool idempotent = false;
-  // The longest that a caller is kept waiting.
+  // The longest time that a caller waits for an answer.
   Duration timeout{};
-  // Answers within this time are worth most to the caller.
+  // The time within which a request should be answered. Later answers are worth
+  // less to the caller.
   Duration latency_target{};
-  // One: all requests go there. Several: by weight, or, on a scatter route,
-  // every request goes to all of them.
+  // The services that run the requests. Each request goes to one of them,
+  // chosen by weight, or, if `is_scatter`, to all of them.
   std::vector<WeightedService> services;
+  // Whether each service is one shard and the answer is merged from their
+  // parts.
   bool is_scatter = false;
-  // Targets that one request may be sent to, for each service of a scatter.
+  // The number of targets to which one request may be sent; for a scatter
+  // route, that number for each service.
   size_t max_attempts = 1;
-  // Records in a scatter's answer.
+  // The number of records in a scatter answer.
   size_t top_records = 0;
-  // The least share of the services that makes a scatter's answer a success.
+  // The smallest share of the services, from 0 to 1, whose parts make a scatter
+  // answer a success.
   double min_share = 0;
 
   friend bool operator==(const RouteConfig&, const RouteConfig&) = default;
--- a/knapweedroad/routing/route_table.h
+++ b/knapweedroad/routing/route_table.h
@@ -1,4 +1,4 @@
-// Finds the route of a request.
+// Finds the route of a request in one version of the routing configuration.
 //
 //   RouteTable table(config);
 //   const RouteConfig* route = table.Find("leno12.example:80", "/a/b/2f?q=1");
@@ -17,17 +17,19 @@
 
 namespace knapweedroad {
 
-// One version; never changes. Requests hold it while they run, so that all
-// parts of an answer come from one version.
+// Immutable. Each request keeps a reference to its table while it runs, so that
+// one version applies to all parts of its answer.
 class RouteTable {
  public:
   explicit RouteTable(RoutingConfig config);
 
-  // The route with the longest prefix that begins the path, among those of the
-  // host name (any case, a port is ignored); null: none.
+  // Returns the route of the host with the longest path prefix that matches
+  // `path`, or null if there is none. `host` may be in any case, and its port
+  // is ignored. The result is valid as long as this table.
   const RouteConfig* Find(std::string_view host, std::string_view path) const;
 
-  // Null: no such service.
+  // Returns null if the configuration doesn't define the service. The result is
+  // valid as long as this table.
   const RoutedService* FindService(const ServiceId& service) const;
 
   const RoutingConfig& config() const { return this->routing; }
@@ -35,7 +37,7 @@
 
  private:
   RoutingConfig routing;
-  // Routes of a host name, longest prefix first.
+  // The routes of each host name in lower case, longest prefix first.
   std::unordered_map<std::string, std::vector<const RouteConfig*>> by_host;
   std::unordered_map<ServiceId, const RoutedService*> by_service;
 };
--- a/knapweedroad/routing/routing_config.cc
+++ b/knapweedroad/routing/routing_config.cc
@@ -17,7 +17,7 @@
                    const std::set<std::string_view>& defined,
                    std::vector<std::string>& faults) {
   if (route.services.empty()) {
-    faults.push_back(RouteFault(route, "names no service; give it one"));
+    faults.push_back(RouteFault(route, "has no service; add at least one"));
     return;
   }
   double total_weight = 0;
@@ -27,20 +27,21 @@
     if (!defined.contains(entry.service.str())) {
       faults.push_back(
           RouteFault(route, "service '" + entry.service.str() +
-                                "' isn't defined; define it or name "
+                                "' isn't defined; define it or use "
                                 "another"));
     }
     if (entry.weight < 0) {
       faults.push_back(
-          RouteFault(route, "a weight is negative; use 0 or more"));
+          RouteFault(route, "a weight is negative; set it to 0 or more"));
     }
     if (!listed.insert(entry.service.str()).second && route.is_scatter) {
-      faults.push_back(RouteFault(
-          route, "service '" + entry.service.str() + "' is named twice"));
+      faults.push_back(RouteFault(route, "service '" + entry.service.str() +
+                                             "' is listed twice; remove one"));
     }
   }
   if (total_weight <= 0) {
-    faults.push_back(RouteFault(route, "the weights add up to 0; raise one"));
+    faults.push_back(
+        RouteFault(route, "the sum of the weights must be above 0"));
   }
 }
 
@@ -51,13 +52,15 @@
         RouteFault(route, "the path prefix must begin and end with a slash"));
   }
   if (route.timeout <= Duration::zero()) {
-    faults.push_back(RouteFault(route, "the time-out must be above 0"));
+    faults.push_back(RouteFault(route, "the timeout must be above 0"));
   }
   if (route.max_attempts == 0) {
-    faults.push_back(RouteFault(route, "at least one attempt must be allowed"));
+    faults.push_back(
+        RouteFault(route, "the maximum number of attempts must be 1 or more"));
   }
   if (route.min_share < 0 || route.min_share > 1) {
-    faults.push_back(RouteFault(route, "the least share must be from 0 to 1"));
+    faults.push_back(
+        RouteFault(route, "the minimum share must be from 0 to 1"));
   }
 }
 
@@ -69,7 +72,7 @@
   for (const RoutedService& service : config.services) {
     if (!defined.insert(service.name.str()).second) {
       faults.push_back("service '" + service.name.str() +
-                       "' is defined twice; keep one");
+                       "' is defined twice; remove one");
     }
   }
   HostPrefixes host_prefixes;
@@ -77,8 +80,9 @@
     CheckRoute(route, faults);
     CheckServices(route, defined, faults);
     if (!host_prefixes.emplace(route.host_name, route.path_prefix).second) {
-      faults.push_back(
-          RouteFault(route, "another route has the same host and path prefix"));
+      faults.push_back(RouteFault(route,
+                                  "another route has the same host name and "
+                                  "path prefix; change or remove one"));
     }
   }
   return faults;
--- a/knapweedroad/routing/routing_config.h
+++ b/knapweedroad/routing/routing_config.h
@@ -1,4 +1,5 @@
-// What entry hosts route by: one version of all routes and services.
+// One version of the routing configuration of entry hosts: all routes, services
+// and limits on callers.
 
 #ifndef KNAPWEEDROAD_ROUTING_ROUTING_CONFIG_H_
 #define KNAPWEEDROAD_ROUTING_ROUTING_CONFIG_H_
@@ -14,31 +15,36 @@
 
 namespace knapweedroad {
 
+// A service to which routes refer, and the limits of each of its targets.
 struct RoutedService {
   ServiceId name;
+  // The path of health checks.
   std::string health_path = "/health";
-  // Connections that each target of the service takes from all hosts together.
+  // Connections that each target accepts from all hosts together; zero if
+  // unknown.
   size_t max_connections = 0;
-  // How long a target bears little after its start.
+  // How long after its start a target is cold, and accepts only `cold_rate`.
   Duration cold_start{};
-  // Requests a second that a cold target bears from all hosts together.
+  // Requests per second that a cold target accepts from all hosts together.
   double cold_rate = 0;
 
   friend bool operator==(const RoutedService&, const RoutedService&) = default;
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the requests and connections of callers.
 struct CallerLimits {
   size_t max_header_bytes = 16 << 10;
   size_t max_body_bytes = 256 << 10;
+  // The longest time that a caller may take to send a request's header.
   Duration header_timeout = std::chrono::seconds(3);
+  // How long a connection without a request stays open.
   Duration idle_timeout = std::chrono::seconds(15);
 
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
 struct RoutingConfig {
-  // The operators' number; higher versions replace lower ones.
+  // Set by the operators; a higher version replaces a lower one.
   uint64_t version = 0;
   std::vector<RouteConfig> routes;
   std::vector<RoutedService> services;
@@ -47,8 +53,9 @@
   friend bool operator==(const RoutingConfig&, const RoutingConfig&) = default;
 };
 
-// Why the configuration can't be put in force, one text a fault, each naming
-// the route and the remedy; empty if it can.
+// Returns the reasons why the configuration is invalid, one message for each
+// fault, with the route or service and what to change. Returns an empty list if
+// the configuration is valid.
 std::vector<std::string> CheckRouting(const RoutingConfig& config);
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/routing_test.cc
+++ b/knapweedroad/routing/routing_test.cc
@@ -27,7 +27,7 @@
           .services = {{.name = ServiceId("s")}, {.name = ServiceId("t")}}};
 }
 
-Test(route_table, the_longest_prefix_of_the_host_name_wins) {
+Test(route_table, finds_the_longest_path_prefix_of_the_host_name) {
   const RouteTable table(Config(
       {Route("all", "a.example", "/"), Route("x", "a.example", "/x/"),
        Route("xy", "a.example", "/x/y/"), Route("b", "b.example", "/x/")}));
@@ -38,7 +38,7 @@
   cr_expect(table.Find("c.example", "/x/") == nullptr);
 }
 
-Test(check_routing, names_each_fault) {
+Test(check_routing, reports_each_fault_with_its_route) {
   RouteConfig unknown = Route("unknown", "a", "/u/");
   unknown.services = {{.service = ServiceId("nowhere")}};
   RouteConfig weightless = Route("weightless", "a", "/w/");
@@ -55,7 +55,8 @@
                 .size() == 1);
 }
 
-Test(weighted_round_robin, each_service_gets_its_weights_share_at_any_time) {
+Test(weighted_round_robin,
+     each_service_gets_requests_in_proportion_to_its_weight) {
   RouteConfig route = Route("r", "a", "/");
   route.services = {{.service = ServiceId("s"), .weight = 3},
                     {.service = ServiceId("t"), .weight = 1},
@@ -68,13 +69,13 @@
   cr_expect(counts["s"] == 300 && counts["t"] == 100 && counts.count("u") == 0);
 }
 
-Test(record_merge, greatest_first_equal_ones_count_and_a_rest_does_not) {
+Test(record_merge, keeps_equal_records_and_ignores_incomplete_ones) {
   const std::string low(16, 'a');
   const std::string high(16, 'z');
-  const std::string one = low + high + "rest";
-  cr_expect(MergeRecords(std::vector<std::string_view>{one, high}, 2) ==
+  const std::string part = low + high + "rest";
+  cr_expect(MergeRecords(std::vector<std::string_view>{part, high}, 2) ==
             high + high);
-  cr_expect(MergeRecords(std::vector<std::string_view>{one, high}, 9) ==
+  cr_expect(MergeRecords(std::vector<std::string_view>{part, high}, 9) ==
             high + high + low);
   cr_expect(MergeRecords(std::vector<std::string_view>{}, 9).empty());
 }
--- a/knapweedroad/routing/target_cost.cc
+++ b/knapweedroad/routing/target_cost.cc
@@ -10,35 +10,39 @@
 
 using std::chrono::milliseconds;
 
-// A latency not confirmed for this long is half forgotten, and what is not
-// known is taken for a little better than usual: a target that was slow is
-// tried again after some seconds.
+// Without new answers, half of the weight of a target's latency passes to an
+// assumed latency in each half-life. That is slightly better than usual, so
+// that a target that was slow is tried again after some seconds.
 constexpr Duration kLatencyHalfLife = std::chrono::seconds(3);
 constexpr double kUnknownLatencyFactor = 0.8;
-// What a target says of its load is half out of date after this. With less
-// memory a host would know of its own requests alone, and a zone's hosts would
-// go on filling their own zone's target while the others are free.
+// The half-life of a target's reported load. With a shorter one a host would
+// consider only its own requests, and the hosts of a zone would overload the
+// target in their zone while others are idle.
 constexpr Duration kLoadHalfLife = milliseconds(120);
-// Failures are half forgotten after this: a host of many asks a target only
-// every other second, and must remember from one request to the next.
+// The half-life of failures. Where there are many hosts, each sends a request
+// to a target only every two seconds, and a failure must still count at the
+// next.
 constexpr Duration kFailureHalfLife = std::chrono::seconds(4);
-// A target that fails every time costs like one nine times as slow.
+// A target that always fails costs as much as one that is nine times as slow.
 constexpr double kFailureCostFactor = 8;
-// The same where all hosts together know it, by the square of the share: with
-// few failures a retry mends nearly all; with many, retries run out, and what
-// fails is lost.
+// The factor for the failures that all hosts of the zone report, multiplied by
+// the square of their share. If few attempts fail, a retry corrects nearly all
+// failures. If many fail, the retry budget is used up and requests are lost.
 constexpr double kSharedFailureCostFactor = 100;
-// What a target costs to which this host keeps no connections: a new one holds
-// a slot for some milliseconds, and may be over the target's cap.
+// The factor for a target to which this host keeps no connections. A new
+// connection occupies a slot for some milliseconds and may exceed the target's
+// connection limit.
 constexpr double kOutsideSubsetFactor = 2;
-// An attempt unanswered for this many usual latencies counts as stalled, and
-// not before kMinStallAge: pauses of a tenth of a second come every few
-// seconds.
+// An attempt counts as stalled if it is unanswered for kStallFactor times the
+// target's expected latency and for more than kMinStallAge. Targets pause for
+// about a tenth of a second every few seconds.
 constexpr double kStallFactor = 3;
 constexpr Duration kMinStallAge = milliseconds(15);
+// The expected latency where neither the target's nor the service's is known.
 constexpr Duration kDefaultLatency = milliseconds(10);
-// After a target has turned a connection away a host keeps to those that it
-// has: a host that takes a second place leaves another without any.
+// The factor for an attempt that needs a new connection after targets refused
+// one. Hosts then prefer their present connections, as a host that opens a
+// second one leaves another host without any.
 constexpr double kScarceConnectionFactor = 4;
 
 double Decay(Duration age, Duration half_life) {
@@ -104,9 +108,9 @@
   const double slots = std::max<double>(1, target.record.slots);
   const double requests_per_slot =
       std::max(reported, static_cast<double>(target.in_flight)) / slots;
-  // A target that refuses much of its work is fast with the rest. A failure
-  // therefore costs at least the service's usual latency, the time of another
-  // attempt.
+  // A target that refuses many requests answers the others quickly. A failure
+  // therefore costs at least the service's usual latency, which is the time of
+  // another attempt.
   const double loaded_latency = latency * (1 + requests_per_slot);
   double cost =
       loaded_latency +
--- a/knapweedroad/routing/target_cost.h
+++ b/knapweedroad/routing/target_cost.h
@@ -1,7 +1,8 @@
-// What an attempt on a target is expected to cost, to compare targets of one
-// service by: its latency in ns, made worse by load, failures and distance.
+// Estimates the cost of an attempt on a target, by which the targets of one
+// service are compared: its expected latency in ns, increased for load,
+// failures, a stalled attempt and the target's zone.
 //
-//   double cost = CostOf(state, {.usual_latency_ns = 9e6}, now);
+//   double cost = CostOf(target, {.usual_latency_ns = 9e6}, now);
 
 #ifndef KNAPWEEDROAD_ROUTING_TARGET_COST_H_
 #define KNAPWEEDROAD_ROUTING_TARGET_COST_H_
@@ -12,27 +13,34 @@
 
 struct BalancedTarget;
 
+// The inputs to a target's cost that aren't part of the target's own state.
 struct CostContext {
-  // Of the service, in ns; zero: none known yet.
+  // The usual latency of the service; zero if unknown.
   double usual_latency_ns = 0;
-  // Whether what other hosts say of the target counts.
+  // Whether outcomes that other hosts reported for the target are included.
   bool uses_shared_outcomes = true;
-  // How many times slower the target counts for the zone that it is in.
+  // Multiplies the cost for the zone that the target is in.
   double zone_factor = 1;
-  // This host keeps no connections to it by plan.
+  // Whether the target is outside the subset of targets to which this host
+  // keeps connections.
   bool is_outside_subset = false;
-  // It would need a new connection while targets are short of them.
+  // Whether the attempt needs a new connection while targets have refused
+  // connections for lack of them.
   bool needs_scarce_connection = false;
 };
 
+// Returns the expected cost in ns; lower is better.
 double CostOf(const BalancedTarget& target,
               const CostContext& context,
               TimePoint now);
 
-// The share of attempts that fail, as far as still known.
+// Returns the smoothed share of failed attempts, from 0 to 1, which decays
+// towards zero with time since the last outcome.
 double FailureShare(const BalancedTarget& target, TimePoint now);
 
-// Takes an outcome in: 1 a failure, 0 a success.
+// Adds an outcome to the smoothed share of failures. `failure` is 1 for a
+// failure and 0 for a success, or a value between. `weight`, from 0 to 1, is
+// the weight of this outcome against the earlier ones.
 void CountOutcome(BalancedTarget& target,
                   double failure,
                   double weight,
--- a/knapweedroad/routing/target_load.h
+++ b/knapweedroad/routing/target_load.h
@@ -1,4 +1,4 @@
-// How busy a target said it was, in its last answer.
+// The load that a target reports with an answer or a refusal.
 
 #ifndef KNAPWEEDROAD_ROUTING_TARGET_LOAD_H_
 #define KNAPWEEDROAD_ROUTING_TARGET_LOAD_H_
@@ -8,8 +8,11 @@
 namespace knapweedroad {
 
 struct TargetLoad {
+  // Requests that the target is running.
   uint32_t running = 0;
+  // Requests in the target's queue.
   uint32_t waiting = 0;
+  // Requests that the target can run at once.
   uint32_t slots = 0;
 };
 
--- a/knapweedroad/routing/weighted_round_robin.h
+++ b/knapweedroad/routing/weighted_round_robin.h
@@ -1,5 +1,5 @@
-// Deals a route's requests out to its services in the proportions of their
-// weights, exactly over any longer run (smooth weighted round robin).
+// Distributes the requests of each route over its services in proportion to
+// their weights (smooth weighted round robin).
 //
 //   WeightedRoundRobin rotation;
 //   const ServiceId& service = rotation.Next(route);
@@ -15,13 +15,16 @@
 
 namespace knapweedroad {
 
+// The proportions are exact over each full cycle. The state of a route,
+// identified by its name, starts anew when its services or weights change.
 class WeightedRoundRobin {
  public:
-  // Which service of the route takes the next request; one of weight 0 never
-  // does. The route has at least one service of a weight above 0.
+  // Returns the service for the route's next request. If the route has several
+  // services, at least one must have a weight above 0, and those with weight 0
+  // are never returned. The result is valid as long as `route`.
   const ServiceId& Next(const RouteConfig& route);
 
-  // Drops the routes for which `keep` is false.
+  // Drops the state of routes for whose name `keep` returns false.
   template <typename Keep>
   void Prune(Keep keep) {
     std::erase_if(this->state_by_route,
@@ -31,7 +34,8 @@
  private:
   struct State {
     std::vector<WeightedService> services;
-    // How far each service is behind its share.
+    // The accumulated weight of each service, less the total of all weights for
+    // each request that it got.
     std::vector<double> credits;
   };
 
--- a/knapweedroad/routing/zone_reachability.cc
+++ b/knapweedroad/routing/zone_reachability.cc
@@ -6,23 +6,26 @@
 namespace knapweedroad {
 namespace {
 
-// One or two silent targets may have crashed together; that this many are
-// silent and not one other answers points to the network.
+// One or two silent targets may have crashed at the same time. If this many are
+// silent and none answers, the network is the likely cause.
 constexpr size_t kMinSilentTargets = 3;
 constexpr size_t kMaxRecordedTargets = 8;
-// While a zone can be reached its targets answer a hundred times a second; even
-// a host with a request a second hears from them more often than this.
+// Targets of a reachable zone answer about a hundred times a second. Even a
+// host with one request a second receives answers more often than this.
 constexpr Duration kMinTargetSilence = std::chrono::milliseconds(400);
-// A host that is told of a cut follows control hosts of other zones. They
-// answer their first call within this, and then once a second at the least.
+// A host whose zone is reported as cut off also follows control hosts of other
+// zones. Those that are reachable answer the first call within
+// kFirstControlReply, and then at least once a second.
 constexpr Duration kFirstControlReply = std::chrono::milliseconds(350);
 constexpr Duration kMinControlSilence = std::chrono::milliseconds(1200);
-// Weight of a request in the smoothed share: the last three or so decide.
+// Weight of one request in the moving average, so that about the last three
+// requests decide.
 constexpr double kRequestWeight = 0.3;
 constexpr double kMaxUnservedShare = 0.5;
-// The same where the zone is known to lack targets: one refusal is enough.
+// Applies when the zone lacks targets for some route: one refusal is enough.
 constexpr double kMaxUnservedShareMissingTargets = 0.25;
-// Without a request for this long a host knows nothing of what callers need.
+// After this long without a request, the share of unserved requests says
+// nothing about the requests that callers send now.
 constexpr Duration kIdleAfter = std::chrono::seconds(1);
 
 }  // namespace
@@ -60,8 +63,9 @@
                          (is_served ? 0 : kRequestWeight);
 }
 
-// A control host that has lost the others may tell of a cut while entry hosts
-// reach other zones well, so its word counts only with silence from there.
+// A control host that has lost the others may report a cut-off while entry
+// hosts still reach other zones. Its report therefore counts only if no answer
+// has come from other zones.
 bool ZoneReachability::is_cut_off(TimePoint now) const {
   const Duration silence = now - this->answered_at;
   return (this->reported_cut_off &&
@@ -71,12 +75,12 @@
           silence >= kMinTargetSilence);
 }
 
-// Only a host that hears nothing from outside sends callers away: where a
-// service is down everywhere, hosts of all zones would otherwise send them in
-// circles.
+// Only a host that receives no answers from other zones diverts callers. When a
+// service is down in all zones, hosts would otherwise divert callers from zone
+// to zone without end.
 //
-// The balancer leaves a zone only once none of its hosts is ready. A host that
-// no caller has reached lately therefore decides by what its zone could serve.
+// The balancer stops using a zone only when none of its hosts is ready. A host
+// without recent requests therefore decides by what its zone can serve.
 bool ZoneReachability::ShouldDivert(bool zone_serves_all, TimePoint now) {
   if (!this->is_cut_off(now)) {
     this->diverting = false;
--- a/knapweedroad/routing/zone_reachability.h
+++ b/knapweedroad/routing/zone_reachability.h
@@ -1,14 +1,10 @@
-// Whether this host's zone seems cut off from the others, and whether callers
-// are served better by hosts of another zone meanwhile.
+// Detects that this host's zone is cut off from the other zones, and decides
+// whether callers should be diverted to hosts of another zone.
 //
 //   ZoneReachability reachability;
-//   reachability.OnUnanswered(target, now);      // of another zone
+//   reachability.OnUnanswered(target);  // a target of another zone
 //   reachability.OnRequestEnded(/*is_served=*/false, now);
 //   if (reachability.ShouldDivert(zone_serves_all, now)) ReportNotReady();
-//
-// Answers the pattern of a zone without targets of its own for some service:
-// cut off, its hosts can only refuse, while callers still reach them, and
-// reach the hosts of other zones, too.
 
 #ifndef KNAPWEEDROAD_ROUTING_ZONE_REACHABILITY_H_
 #define KNAPWEEDROAD_ROUTING_ZONE_REACHABILITY_H_
@@ -20,35 +16,49 @@
 
 namespace knapweedroad {
 
+// A zone may have no targets for some service. While it is cut off from other
+// zones its hosts must refuse requests to that service, although callers can
+// still reach hosts of other zones. A host that diverts reports that it isn't
+// ready, so that the balancer sends callers to another zone.
 class ZoneReachability {
  public:
-  // A target or control host of another zone has answered anything. True: the
-  // zone seemed cut off until now.
+  // Records any answer from a target or control host of another zone, which
+  // ends the cut-off and the diversion. Returns whether the zone was considered
+  // cut off until now.
   bool OnAnswered(TimePoint now);
-  // A target of another zone has been silent, or no connection could be had.
+  // Records that a target of another zone did not answer or refused
+  // connections.
   void OnUnanswered(const TargetId& target);
-  // A control host of this zone has lost those of all others, or has one again.
+  // Records whether a control host of this zone reports that it can't reach any
+  // control host of another zone. The end of a reported cut-off is treated as
+  // an answer from another zone.
   void OnControlReport(bool is_cut_off, TimePoint now);
-  // A caller's request has ended.
+  // Records the end of a caller's request and whether it was answered.
   void OnRequestEnded(bool is_served, TimePoint now);
 
+  // Whether no other zone appears to be reachable from this one.
   bool is_cut_off(TimePoint now) const;
-  // Cut off, and most of its callers' requests are not served. Where no
-  // callers come, `zone_serves_all` decides: whether the zone's own targets
-  // could serve them. Stays until an answer comes from outside.
+  // Returns whether callers should be diverted to another zone: this zone is
+  // cut off, and too large a share of its last requests was not served.
+  // `zone_serves_all` says whether targets in this zone can serve every route.
+  // If they can't, a smaller share is enough, and a host without recent
+  // requests always diverts. Once true, the result stays true until the zone is
+  // no longer cut off. Must be called periodically.
   bool ShouldDivert(bool zone_serves_all, TimePoint now);
+  // The last result of ShouldDivert(), or false if another zone has answered
+  // since.
   bool is_diverting() const { return this->diverting; }
 
  private:
-  // Targets of other zones that were silent since one last answered.
+  // Targets of other zones that failed to answer since any of them last did.
   std::set<TargetId> unanswered;
   TimePoint answered_at;
   bool reported_cut_off = false;
-  // Since when.
+  // When a control host first reported the present cut-off.
   TimePoint reported_at;
   bool diverting = false;
   TimePoint last_request;
-  // Smoothed share of requests that were not served.
+  // Exponentially weighted share of requests that were not served.
   double unserved_share = 0;
 };
 
--- a/knapweedroad/routing/zone_reachability_test.cc
+++ b/knapweedroad/routing/zone_reachability_test.cc
@@ -24,10 +24,10 @@
   }
 }
 
-// Callers of one zone are refused for six seconds. The zone has no targets of
-// the shards and is cut off; its hosts went on saying that they were ready, so
-// callers that came back came back to them.
-Test(zone_reachability, a_cut_off_zone_without_targets_sends_its_callers_away) {
+// Guards against hosts that refuse all callers for seconds and still report
+// that they are ready, so that callers return to them: their zone is cut off
+// and has no targets for the shards.
+Test(zone_reachability, a_cut_off_zone_without_targets_diverts_its_callers) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
   ReportSilentTargets(reachability, 4);
@@ -36,7 +36,8 @@
       reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-// The zone has its own targets of everything: it goes on by itself.
+// Guards against diverting callers from a cut off zone that has targets for
+// every route.
 Test(zone_reachability, a_cut_off_zone_with_targets_keeps_its_callers) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
@@ -47,9 +48,9 @@
       reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-// All targets of a shard are down everywhere. Hosts of other zones would refuse
-// as well; nobody may leave.
-Test(zone_reachability, a_shard_that_is_down_everywhere_sends_nobody_away) {
+// Guards against diverting callers when all targets of a shard are down in
+// every zone, as hosts of other zones would refuse them too.
+Test(zone_reachability, a_shard_that_is_down_in_all_zones_diverts_nobody) {
   ZoneReachability reachability;
   ReportSilentTargets(reachability, 3);
   ReportRefusedRequests(reachability, 20);
@@ -59,7 +60,7 @@
       reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-Test(zone_reachability, the_first_answer_from_outside_ends_it) {
+Test(zone_reachability, the_first_answer_from_another_zone_ends_the_diversion) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
   ReportSilentTargets(reachability, 4);
@@ -70,9 +71,9 @@
   cr_expect_not(reachability.OnAnswered(kStart + milliseconds(1001)));
 }
 
-// Of a cut off zone's hosts one has had no callers lately. It alone stays
-// ready, and the balancer goes on sending everybody into the zone.
-Test(zone_reachability, a_host_without_callers_follows_its_zone) {
+// Guards against one host of a cut off zone that stays ready because it had no
+// recent requests: the balancer would keep sending all callers to the zone.
+Test(zone_reachability, a_host_without_requests_decides_by_its_zones_targets) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
   reachability.OnControlReport(/*is_cut_off=*/true, kStart + seconds(1));
@@ -84,8 +85,9 @@
   cr_expect_not(reachability.ShouldDivert(/*zone_serves_all=*/false, now));
 }
 
-// Only the zone's control host is cut off: its hosts hear from other zones.
-Test(zone_reachability, a_cut_off_control_host_alone_sends_nobody_away) {
+// Guards against diverting callers when only the zone's control host is cut off
+// and its entry hosts still receive answers from other zones.
+Test(zone_reachability, a_cut_off_control_host_alone_diverts_nobody) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart - milliseconds(100));
   for (TimePoint now = kStart; now < kStart + seconds(5); now += seconds(1)) {
@@ -97,10 +99,9 @@
   }
 }
 
-// A few lookups that the zone can serve come between: a host that changes its
-// word with each of them is in and out of rotation, and callers stay.
-Test(zone_reachability,
-     it_keeps_its_word_until_something_answers_from_outside) {
+// Guards against a host that changes its decision with each request that the
+// zone can serve: its readiness would alternate, and callers would stay.
+Test(zone_reachability, diverts_until_another_zone_answers) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
   ReportSilentTargets(reachability, 4);
@@ -113,8 +114,9 @@
   cr_expect(reachability.ShouldDivert(/*zone_serves_all=*/true, now));
 }
 
-// Guards against one host of a cut off zone that stays ready for a second,
-// and gets all of the zone's callers: its requests were sent, and failed.
+// Guards against a host of a cut off zone that stays ready for a second and
+// receives all of the zone's callers, because requests that were sent and
+// failed did not count.
 Test(zone_reachability, requests_that_were_sent_and_failed_count_as_unserved) {
   ZoneReachability reachability;
   reachability.OnAnswered(kStart);
