--- a/knapweedroad/routing/concurrency_limit_test.cc
+++ b/knapweedroad/routing/concurrency_limit_test.cc
@@ -12,65 +12,68 @@
 constexpr size_t kCap = 3;
 constexpr size_t kHosts = 8;
 
-// Eight hosts with more to send than one target of three slots gets through;
-// in each round it ends as many as it has slots and reports its queue to the
-// hosts whose requests those were. Returns its longest queue after a while.
+// Simulates eight hosts that have more requests than one target with three
+// slots can serve. In each round the target completes one request per slot and
+// reports its queue to the hosts that sent them. Returns the longest queue in
+// the second half of the simulation.
 size_t LongestQueue(std::array<ConcurrencyLimit, kHosts>& limits) {
   constexpr int kRounds = 400;
-  std::array<size_t, kHosts> out{};
+  std::array<size_t, kHosts> in_flight{};
   size_t longest = 0;
   size_t next = 0;
   for (int round = 0; round < kRounds; ++round) {
-    size_t all = 0;
+    size_t total = 0;
     for (size_t host = 0; host < kHosts; ++host) {
-      out[host] = std::max(out[host], limits[host].Allowed(kCap));
-      all += out[host];
+      in_flight[host] =
+          std::max(in_flight[host], limits[host].MaxInFlight(kCap));
+      total += in_flight[host];
     }
     if (round > kRounds / 2) {
-      longest = std::max(longest, all - std::min(all, kSlots));
+      longest = std::max(longest, total - std::min(total, kSlots));
     }
-    for (size_t ended = 0; ended < kSlots && all > 0; ++next) {
+    for (size_t completed = 0; completed < kSlots && total > 0; ++next) {
       const size_t host = next % kHosts;
-      if (out[host] == 0) {
+      if (in_flight[host] == 0) {
         continue;
       }
-      --out[host];
-      --all;
-      ++ended;
-      const size_t running = std::min(all, kSlots);
-      limits[host].OnLoad({.running = static_cast<uint32_t>(running),
-                           .waiting = static_cast<uint32_t>(all - running)},
-                          kSlots, kCap);
+      --in_flight[host];
+      --total;
+      ++completed;
+      const size_t running = std::min(total, kSlots);
+      limits[host].OnLoadReport(
+          {.running = static_cast<uint32_t>(running),
+           .waiting = static_cast<uint32_t>(total - running)},
+          kSlots, kCap);
     }
   }
   return longest;
 }
 
-// Two of three targets of a shard are gone, and every host fills the queue of
-// the third. Callers get all of its answers late, seven service times after
-// they were asked for. With bounds that follow its queue, twice its slots wait
-// at most: one request of each host, and one more now and then.
-Test(concurrency_limit, hosts_together_keep_a_short_queue) {
+// Guards against late answers when two of a shard's three targets are gone and
+// every host fills the queue of the third: each answer then took seven service
+// times. With the limit, at most about twice the target's slots wait: one
+// request of each host, and occasionally one more.
+Test(concurrency_limit, keeps_the_shared_queue_short) {
   std::array<ConcurrencyLimit, kHosts> limits;
   const size_t longest = LongestQueue(limits);
   cr_expect(longest <= 3 * kSlots, "%zu", longest);
 }
 
-// The targets are back. Each host may use all of its connections again.
-Test(concurrency_limit, without_a_queue_the_whole_cap_is_used_again) {
+// Guards against a limit that stays low after lost targets have come back.
+Test(concurrency_limit, rises_to_the_cap_again_without_a_queue) {
   ConcurrencyLimit limit;
   for (int i = 0; i < 20; ++i) {
-    limit.OnLoad({.running = 3, .waiting = 12}, kSlots, kCap);
+    limit.OnLoadReport({.running = 3, .waiting = 12}, kSlots, kCap);
   }
-  cr_expect_eq(limit.Allowed(kCap), 1);
+  cr_expect_eq(limit.MaxInFlight(kCap), 1);
   for (int i = 0; i < 30; ++i) {
-    limit.OnLoad({.running = 2, .waiting = 0}, kSlots, kCap);
+    limit.OnLoadReport({.running = 2, .waiting = 0}, kSlots, kCap);
   }
-  cr_expect_eq(limit.Allowed(kCap), kCap);
+  cr_expect_eq(limit.MaxInFlight(kCap), kCap);
 }
 
-Test(concurrency_limit, a_target_that_reports_no_load_may_get_the_cap) {
-  cr_expect_eq(ConcurrencyLimit().Allowed(kCap), kCap);
+Test(concurrency_limit, equals_the_cap_before_the_first_load_report) {
+  cr_expect_eq(ConcurrencyLimit().MaxInFlight(kCap), kCap);
 }
 
 }  // namespace
--- a/knapweedroad/routing/lists_by_control_host.h
+++ b/knapweedroad/routing/lists_by_control_host.h
@@ -1,8 +1,8 @@
-// What each control host that this host follows lists of something: each tells
-// its whole list, which counts while it replies.
+// Keeps the latest list of items from each control host that this host follows.
+// A list is active while its control host replies.
 //
 //   ListsByControlHost<TargetOutlier> lists;
-//   if (lists.Learn(control_host, std::move(list), now)) Apply(lists);
+//   if (lists.Update(control_host, std::move(list), now)) Apply(lists);
 
 #ifndef KNAPWEEDROAD_ROUTING_LISTS_BY_CONTROL_HOST_H_
 #define KNAPWEEDROAD_ROUTING_LISTS_BY_CONTROL_HOST_H_
@@ -17,43 +17,46 @@
 
 namespace knapweedroad {
 
+// Each control host sends its whole list, or nothing if the list is unchanged.
 template <typename Item>
 class ListsByControlHost {
  public:
-  // Replaces what the control host listed before; nothing: that still holds.
-  // True: what counts may have changed.
-  bool Learn(const HostId& control_host,
-             std::optional<std::vector<Item>> items,
-             TimePoint now) {
+  // Records a reply of the control host at `now`. `items` replaces its previous
+  // list; if absent, the previous list stays valid. Returns whether the items
+  // of the active lists may have changed.
+  bool Update(const HostId& control_host,
+              std::optional<std::vector<Item>> items,
+              TimePoint now) {
     List& list = this->lists[control_host];
-    const bool counted = std::exchange(list.counts, true);
-    list.heard = now;
+    const bool was_active = std::exchange(list.is_active, true);
+    list.replied_at = now;
     if (!items) {
-      return !counted;
+      return !was_active;
     }
     list.items = *std::move(items);
     return true;
   }
 
-  // Leaves out the lists of control hosts that no longer reply. True: there
-  // were.
-  bool ForgetOld(TimePoint now) {
+  // Deactivates the lists of control hosts that have stopped replying. Returns
+  // whether there were any. Must be called periodically.
+  bool ExpireLists(TimePoint now) {
     std::erase_if(this->lists, [now](const auto& entry) {
-      return now - entry.second.heard > kForgetAfter;
+      return now - entry.second.replied_at > kDropAfter;
     });
     bool is_changed = false;
     for (auto& [control_host, list] : this->lists) {
-      const bool is_silent = now - list.heard > kListMemory;
-      is_changed |= is_silent && std::exchange(list.counts, false);
+      const bool has_lapsed = now - list.replied_at > kActiveAfterReply;
+      is_changed |= has_lapsed && std::exchange(list.is_active, false);
     }
     return is_changed;
   }
 
-  // Each item of each list that counts.
+  // Calls `visit` with each item of each active list. An item on several lists
+  // is visited once for each of them.
   template <typename Visit>
   void ForEach(const Visit& visit) const {
     for (const auto& [control_host, list] : this->lists) {
-      if (!list.counts) {
+      if (!list.is_active) {
         continue;
       }
       for (const Item& item : list.items) {
@@ -63,17 +66,17 @@
   }
 
  private:
-  // A control host replies once a second at the least; its list counts for this
-  // long after the last reply.
-  static constexpr Duration kListMemory = std::chrono::seconds(4);
-  // The list of one that replies again by then still holds: it may say that
-  // nothing has changed.
-  static constexpr Duration kForgetAfter = std::chrono::minutes(10);
+  // How long a list stays active after the last reply of its control host,
+  // which replies at least once a second.
+  static constexpr Duration kActiveAfterReply = std::chrono::seconds(4);
+  // How long an inactive list is kept. A control host that replies again within
+  // this time may report only that nothing has changed.
+  static constexpr Duration kDropAfter = std::chrono::minutes(10);
 
   struct List {
     std::vector<Item> items;
-    TimePoint heard;
-    bool counts = false;
+    TimePoint replied_at;
+    bool is_active = false;
   };
 
   std::map<HostId, List> lists;
--- a/knapweedroad/routing/outlier_lists.h
+++ b/knapweedroad/routing/outlier_lists.h
@@ -1,8 +1,8 @@
-// Which targets are outliers, as the control hosts of this host's zone list
-// them.
+// Combines the lists of outlier targets, those with unusually many failures or
+// high latency, from the control hosts that this host follows.
 //
 //   OutlierLists lists;
-//   if (lists.Learn(control_host, std::move(outliers), now)) Apply(lists);
+//   if (lists.Update(control_host, std::move(outliers), now)) Apply(lists);
 
 #ifndef KNAPWEEDROAD_ROUTING_OUTLIER_LISTS_H_
 #define KNAPWEEDROAD_ROUTING_OUTLIER_LISTS_H_
@@ -19,24 +19,29 @@
 
 namespace knapweedroad {
 
+// Stops using the list of a control host a few seconds after its last reply.
 class OutlierLists {
  public:
-  // As ListsByControlHost::Learn(). True: Worst() may differ.
-  bool Learn(const HostId& control_host,
-             std::optional<std::vector<TargetOutlier>> outliers,
-             TimePoint now) {
+  // Records a reply of the control host at `now`. `outliers` replaces its
+  // previous list; if absent, the previous list stays valid. Returns whether
+  // WorstByTarget() may have changed.
+  bool Update(const HostId& control_host,
+              std::optional<std::vector<TargetOutlier>> outliers,
+              TimePoint now) {
     const bool is_changed =
-        this->lists.Learn(control_host, std::move(outliers), now);
-    return this->ForgetOld(now) || is_changed;
+        this->lists.Update(control_host, std::move(outliers), now);
+    return this->ExpireLists(now) || is_changed;
   }
 
-  // Leaves out what control hosts that no longer reply have listed. True: there
-  // was something.
-  bool ForgetOld(TimePoint now) { return this->lists.ForgetOld(now); }
+  // Deactivates the lists of control hosts that have stopped replying. Returns
+  // whether WorstByTarget() may have changed. Must be called periodically.
+  bool ExpireLists(TimePoint now) { return this->lists.ExpireLists(now); }
 
-  // Each listed target once. The worst that any control host says counts: one
-  // that has just started has heard little yet.
-  std::map<TargetId, TargetOutlier> Worst() const;
+  // Returns each listed target with the highest failure and slowdown values
+  // that any control host reports. A control host that has just started has
+  // received few outcomes, so its lower values aren't used to reduce those of
+  // others.
+  std::map<TargetId, TargetOutlier> WorstByTarget() const;
 
  private:
   ListsByControlHost<TargetOutlier> lists;
--- a/knapweedroad/routing/relay_choice.h
+++ b/knapweedroad/routing/relay_choice.h
@@ -1,11 +1,12 @@
-// Which entry hosts of other zones gather parts for this one.
+// Chooses the relays of an entry host: entry hosts of other zones that gather
+// parts of an answer from the targets in their zone.
 //
 //   RelayChoice relays({.self = name, .zone = zone});
 //   relays.SetHosts(entry_hosts);
-//   std::vector<ZoneId> zones = relays.Zones(now);
-//   if (const auto relay = relays.Choose(zones.front(), known, now)) ...
-//   relays.OnCalled(relay->host, due, now);
-//   relays.OnReplied(relay->host, due);
+//   std::vector<ZoneId> zones = relays.AvailableZones(now);
+//   if (const auto relay = relays.Choose(zones.front(), preferred, now)) ...
+//   relays.OnCalled(relay->host, deadline);
+//   relays.OnReplied(relay->host, deadline);
 
 #ifndef KNAPWEEDROAD_ROUTING_RELAY_CHOICE_H_
 #define KNAPWEEDROAD_ROUTING_RELAY_CHOICE_H_
@@ -26,47 +27,57 @@
 namespace knapweedroad {
 
 struct RelayChoiceOptions {
+  // This host and its zone.
   HostId self;
   ZoneId zone;
-  // Hosts of each other zone that this one may call, drawn differently by each
-  // host: each keeps a connection to them.
-  size_t hosts_a_zone = 2;
-  // A host that failed or refused isn't called for this long.
+  // The number of hosts of each other zone that this host may call. It is kept
+  // low because each host holds a connection to its relays. Different hosts
+  // select different relays.
+  size_t hosts_per_zone = 2;
+  // How long a host isn't chosen after it failed or refused a call.
   Duration avoid_after_failure = std::chrono::seconds(1);
+  // Seeds the order of zones.
   uint64_t seed = 1;
 };
 
+// Spreads the calls of all entry hosts over all hosts of the other zones, and
+// avoids hosts that failed recently or have a reply overdue.
 class RelayChoice {
  public:
   explicit RelayChoice(RelayChoiceOptions options);
 
+  // Replaces the list of entry hosts. Hosts that stay relays keep their state.
   void SetHosts(std::span<const EntryHostRecord> hosts);
 
-  // Other zones with a host that may be called now, in an order drawn by lot:
-  // so each zone's targets get their share.
-  std::vector<ZoneId> Zones(TimePoint now);
+  // Returns the other zones that have a host available now. The order is
+  // random, so that the targets of each zone get an equal share of the
+  // requests.
+  std::vector<ZoneId> AvailableZones(TimePoint now);
 
-  // Of that zone's hosts one of those `known` already to the request, else the
-  // one with the fewest calls out; nothing if none may be called.
+  // Returns an available host of that zone: one in `preferred`, the hosts that
+  // the request already uses, or else the one with the fewest calls in flight.
+  // Returns nothing if none is available.
   std::optional<EntryHostRecord> Choose(const ZoneId& zone,
-                                        std::span<const HostId> known,
+                                        std::span<const HostId> preferred,
                                         TimePoint now);
 
-  // Each call is OnCalled() once, then one of the others once. One that has no
-  // reply when it is `due` keeps its host from being chosen.
-  void OnCalled(const HostId& host, TimePoint due);
-  void OnReplied(const HostId& host, TimePoint due);
-  void OnFailed(const HostId& host, TimePoint due, TimePoint now);
+  // Record a call and its end. For each call, OnCalled() is called once, and
+  // then either OnReplied() or OnFailed() with the same deadline. A host isn't
+  // chosen while one of its calls is past its deadline. Hosts that are not on
+  // the list are ignored.
+  void OnCalled(const HostId& host, TimePoint deadline);
+  void OnReplied(const HostId& host, TimePoint deadline);
+  void OnFailed(const HostId& host, TimePoint deadline, TimePoint now);
 
  private:
   struct Relay {
     EntryHostRecord record;
-    std::multiset<TimePoint> due;
+    std::multiset<TimePoint> deadlines;
     TimePoint avoid_until;
   };
 
-  void EndCall(const HostId& host, TimePoint due);
-  static bool MayCall(const Relay& relay, TimePoint now);
+  void EndCall(const HostId& host, TimePoint deadline);
+  static bool IsAvailable(const Relay& relay, TimePoint now);
 
   RelayChoiceOptions options;
   std::map<HostId, Relay> relays;
--- a/knapweedroad/routing/target_cost.cc
+++ b/knapweedroad/routing/target_cost.cc
@@ -10,35 +10,40 @@
 
 using std::chrono::milliseconds;
 
-// A latency not confirmed for this long is half forgotten, and what is not
-// known is taken for a little better than usual: a target that was slow is
-// tried again after some seconds.
+// Without new answers, half of the weight of a target's latency passes to an
+// assumed latency in each half-life. That is slightly better than usual, so
+// that a target that was slow is tried again after some seconds.
 constexpr Duration kLatencyHalfLife = std::chrono::seconds(3);
-constexpr double kUnknownLatency = 0.8;
-// What a target says of its load is half out of date after this. With less
-// memory a host would know of its own requests alone, and a zone's hosts would
-// go on filling their own zone's target while the others are free.
+constexpr double kUnknownLatencyFactor = 0.8;
+// The half-life of a target's reported load. With a shorter one a host would
+// consider only its own requests, and the hosts of a zone would overload the
+// target in their zone while others are idle.
 constexpr Duration kLoadHalfLife = milliseconds(120);
-// Failures are half forgotten after this: a host of many asks a target only
-// every other second, and must remember from one request to the next.
+// The half-life of failures. Where there are many hosts, each sends a request
+// to a target only every two seconds, and a failure must still count at the
+// next.
 constexpr Duration kFailureHalfLife = std::chrono::seconds(4);
-// A target that fails every time costs like one nine times as slow.
-constexpr double kFailureCost = 8;
-// The same where all hosts together know it, by the square of the share: with
-// few failures a retry mends nearly all; with many, retries run out, and what
-// fails is lost.
-constexpr double kSharedFailureCost = 100;
-// What a target costs to which this host keeps no connections: a new one holds
-// a slot for some milliseconds, and may be over the target's cap.
-constexpr double kOtherPartCost = 2;
-// An attempt unanswered for this many usual latencies counts as stalled, and
-// not before kStallFloor: pauses of a tenth of a second come every few seconds.
+// A target that always fails costs as much as one that is nine times as slow.
+constexpr double kFailureCostFactor = 8;
+// The factor for the failures that all hosts of the zone report, multiplied by
+// the square of their share. If few attempts fail, a retry corrects nearly all
+// failures. If many fail, the retry budget is used up and requests are lost.
+constexpr double kSharedFailureCostFactor = 100;
+// The factor for a target to which this host keeps no connections. A new
+// connection occupies a slot for some milliseconds and may exceed the target's
+// connection limit.
+constexpr double kOutsideSubsetFactor = 2;
+// An attempt counts as stalled if it is unanswered for kStallFactor times the
+// target's expected latency and for more than kMinStallAge. Targets pause for
+// about a tenth of a second every few seconds.
 constexpr double kStallFactor = 3;
-constexpr Duration kStallFloor = milliseconds(15);
-constexpr Duration kFirstLatency = milliseconds(10);
-// After a target has turned a connection away a host keeps to those that it
-// has: a host that takes a second place leaves another without any.
-constexpr double kNewConnectionCost = 4;
+constexpr Duration kMinStallAge = milliseconds(15);
+// The expected latency where neither the target's nor the service's is known.
+constexpr Duration kDefaultLatency = milliseconds(10);
+// The factor for an attempt that needs a new connection after targets refused
+// one. Hosts then prefer their present connections, as a host that opens a
+// second one leaves another host without any.
+constexpr double kScarceConnectionFactor = 4;
 
 double Decay(Duration age, Duration half_life) {
   return std::exp2(-static_cast<double>(age.count()) /
@@ -46,16 +51,17 @@
 }
 
 double ExpectedLatency(const BalancedTarget& target,
-                       double usual_latency,
+                       double usual_latency_ns,
                        TimePoint now) {
-  const double usual = usual_latency > 0
-                           ? usual_latency
-                           : static_cast<double>(kFirstLatency.count());
+  const double usual = usual_latency_ns > 0
+                           ? usual_latency_ns
+                           : static_cast<double>(kDefaultLatency.count());
   if (target.latency <= 0) {
     return usual;
   }
-  const double kept = Decay(now - target.latency_at, kLatencyHalfLife);
-  return target.latency * kept + kUnknownLatency * usual * (1 - kept);
+  const double retained = Decay(now - target.latency_at, kLatencyHalfLife);
+  return target.latency * retained +
+         kUnknownLatencyFactor * usual * (1 - retained);
 }
 
 double StallCost(const BalancedTarget& target, double latency, TimePoint now) {
@@ -63,9 +69,9 @@
     return 0;
   }
   const auto age = static_cast<double>((now - target.sent.front()).count());
-  const double floor = std::max(kStallFactor * latency,
-                                static_cast<double>(kStallFloor.count()));
-  return age > floor ? kStallFactor * age : 0;
+  const double min_age = std::max(kStallFactor * latency,
+                                  static_cast<double>(kMinStallAge.count()));
+  return age > min_age ? kStallFactor * age : 0;
 }
 
 }  // namespace
@@ -85,31 +91,34 @@
 double CostOf(const BalancedTarget& target,
               const CostContext& context,
               TimePoint now) {
-  double latency = ExpectedLatency(target, context.usual_latency, now);
-  double failing = kFailureCost * FailureShare(target, now);
-  if (context.believes_others) {
-    failing = std::max(failing, kSharedFailureCost * target.shared_failures *
-                                    target.shared_failures);
+  double latency = ExpectedLatency(target, context.usual_latency_ns, now);
+  double failure_cost = kFailureCostFactor * FailureShare(target, now);
+  if (context.uses_shared_outcomes) {
+    failure_cost = std::max(failure_cost, kSharedFailureCostFactor *
+                                              target.shared_failures *
+                                              target.shared_failures);
     if (target.shared_slowdown > 1) {
       latency =
-          std::max(latency, context.usual_latency * target.shared_slowdown);
+          std::max(latency, context.usual_latency_ns * target.shared_slowdown);
     }
   }
-  const double told =
+  const double reported =
       static_cast<double>(target.load.running + target.load.waiting) *
       Decay(now - target.load_at, kLoadHalfLife);
   const double slots = std::max<double>(1, target.record.slots);
-  const double busy =
-      std::max(told, static_cast<double>(target.in_flight)) / slots;
-  // A target that refuses much of its work is fast with the rest. A failure
-  // therefore costs at least the service's usual latency, the time of another
-  // attempt.
-  const double answered = latency * (1 + busy);
-  double cost = answered + failing * std::max(answered, context.usual_latency);
+  const double requests_per_slot =
+      std::max(reported, static_cast<double>(target.in_flight)) / slots;
+  // A target that refuses many requests answers the others quickly. A failure
+  // therefore costs at least the service's usual latency, which is the time of
+  // another attempt.
+  const double loaded_latency = latency * (1 + requests_per_slot);
+  double cost =
+      loaded_latency +
+      failure_cost * std::max(loaded_latency, context.usual_latency_ns);
   cost += StallCost(target, latency, now);
   cost *= context.zone_factor;
-  cost *= context.is_other_part ? kOtherPartCost : 1;
-  cost *= context.takes_scarce_connection ? kNewConnectionCost : 1;
+  cost *= context.is_outside_subset ? kOutsideSubsetFactor : 1;
+  cost *= context.needs_scarce_connection ? kScarceConnectionFactor : 1;
   return cost;
 }
 
--- a/knapweedroad/routing/zone_reachability_test.cc
+++ b/knapweedroad/routing/zone_reachability_test.cc
@@ -12,116 +12,118 @@
 
 const TimePoint kStart{seconds(1000)};
 
-void LoseTargets(ZoneReachability& watch, int count) {
+void ReportSilentTargets(ZoneReachability& reachability, int count) {
   for (int i = 0; i < count; ++i) {
-    watch.OnUnanswered(TargetId("t" + std::to_string(i)));
+    reachability.OnUnanswered(TargetId("t" + std::to_string(i)));
   }
 }
 
-void Refuse(ZoneReachability& watch, int count) {
+void ReportRefusedRequests(ZoneReachability& reachability, int count) {
   for (int i = 0; i < count; ++i) {
-    watch.OnRequest(/*is_served=*/false, kStart);
+    reachability.OnRequestEnded(/*is_served=*/false, kStart);
   }
 }
 
-// Callers of one zone are refused for six seconds. The zone has no targets of
-// the shards and is cut off; its hosts went on saying that they were ready, so
-// callers that came back came back to them.
-Test(zone_reachability, a_cut_off_zone_without_targets_sends_its_callers_away) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  LoseTargets(watch, 4);
-  Refuse(watch, 4);
+// Guards against hosts that refuse all callers for seconds and still report
+// that they are ready, so that callers return to them: their zone is cut off
+// and has no targets for the shards.
+Test(zone_reachability, a_cut_off_zone_without_targets_diverts_its_callers) {
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  ReportSilentTargets(reachability, 4);
+  ReportRefusedRequests(reachability, 4);
   cr_expect(
-      watch.should_send_away(/*zone_serves_all=*/true, kStart + seconds(1)));
+      reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-// The zone has its own targets of everything: it goes on by itself.
+// Guards against diverting callers from a cut off zone that has targets for
+// every route.
 Test(zone_reachability, a_cut_off_zone_with_targets_keeps_its_callers) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  LoseTargets(watch, 4);
-  watch.OnRequest(/*is_served=*/true, kStart + milliseconds(900));
-  cr_expect(watch.is_cut_off(kStart + seconds(1)));
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  ReportSilentTargets(reachability, 4);
+  reachability.OnRequestEnded(/*is_served=*/true, kStart + milliseconds(900));
+  cr_expect(reachability.is_cut_off(kStart + seconds(1)));
   cr_expect_not(
-      watch.should_send_away(/*zone_serves_all=*/true, kStart + seconds(1)));
+      reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-// All targets of a shard are down everywhere. Hosts of other zones would refuse
-// as well; nobody may leave.
-Test(zone_reachability, a_shard_that_is_down_everywhere_sends_nobody_away) {
-  ZoneReachability watch;
-  LoseTargets(watch, 3);
-  Refuse(watch, 20);
-  watch.OnAnswered(kStart);
-  LoseTargets(watch, 2);
+// Guards against diverting callers when all targets of a shard are down in
+// every zone, as hosts of other zones would refuse them too.
+Test(zone_reachability, a_shard_that_is_down_in_all_zones_diverts_nobody) {
+  ZoneReachability reachability;
+  ReportSilentTargets(reachability, 3);
+  ReportRefusedRequests(reachability, 20);
+  reachability.OnAnswered(kStart);
+  ReportSilentTargets(reachability, 2);
   cr_expect_not(
-      watch.should_send_away(/*zone_serves_all=*/true, kStart + seconds(1)));
+      reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
 }
 
-Test(zone_reachability, the_first_answer_from_outside_ends_it) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  LoseTargets(watch, 4);
-  Refuse(watch, 4);
-  cr_expect(watch.OnAnswered(kStart + seconds(1)));
+Test(zone_reachability, the_first_answer_from_another_zone_ends_the_diversion) {
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  ReportSilentTargets(reachability, 4);
+  ReportRefusedRequests(reachability, 4);
+  cr_expect(reachability.OnAnswered(kStart + seconds(1)));
   cr_expect_not(
-      watch.should_send_away(/*zone_serves_all=*/true, kStart + seconds(1)));
-  cr_expect_not(watch.OnAnswered(kStart + milliseconds(1001)));
+      reachability.ShouldDivert(/*zone_serves_all=*/true, kStart + seconds(1)));
+  cr_expect_not(reachability.OnAnswered(kStart + milliseconds(1001)));
 }
 
-// Of a cut off zone's hosts one has had no callers lately. It alone stays
-// ready, and the balancer goes on sending everybody into the zone.
-Test(zone_reachability, a_host_without_callers_follows_its_zone) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  watch.OnTold(/*is_cut_off=*/true, kStart + seconds(1));
+// Guards against one host of a cut off zone that stays ready because it had no
+// recent requests: the balancer would keep sending all callers to the zone.
+Test(zone_reachability, a_host_without_requests_decides_by_its_zones_targets) {
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  reachability.OnControlReport(/*is_cut_off=*/true, kStart + seconds(1));
   const TimePoint now = kStart + seconds(2);
-  cr_assert(watch.is_cut_off(now));
-  cr_expect_not(watch.should_send_away(/*zone_serves_all=*/true, now));
-  cr_expect(watch.should_send_away(/*zone_serves_all=*/false, now));
-  watch.OnTold(/*is_cut_off=*/false, now);
-  cr_expect_not(watch.should_send_away(/*zone_serves_all=*/false, now));
+  cr_assert(reachability.is_cut_off(now));
+  cr_expect_not(reachability.ShouldDivert(/*zone_serves_all=*/true, now));
+  cr_expect(reachability.ShouldDivert(/*zone_serves_all=*/false, now));
+  reachability.OnControlReport(/*is_cut_off=*/false, now);
+  cr_expect_not(reachability.ShouldDivert(/*zone_serves_all=*/false, now));
 }
 
-// Only the zone's control host is cut off: its hosts hear from other zones.
-Test(zone_reachability, a_cut_off_control_host_alone_sends_nobody_away) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart - milliseconds(100));
+// Guards against diverting callers when only the zone's control host is cut off
+// and its entry hosts still receive answers from other zones.
+Test(zone_reachability, a_cut_off_control_host_alone_diverts_nobody) {
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart - milliseconds(100));
   for (TimePoint now = kStart; now < kStart + seconds(5); now += seconds(1)) {
-    watch.OnTold(/*is_cut_off=*/true, now);
-    cr_expect_not(watch.should_send_away(/*zone_serves_all=*/false, now));
-    watch.OnAnswered(now);
-    cr_expect_not(watch.should_send_away(/*zone_serves_all=*/false,
-                                         now + milliseconds(900)));
+    reachability.OnControlReport(/*is_cut_off=*/true, now);
+    cr_expect_not(reachability.ShouldDivert(/*zone_serves_all=*/false, now));
+    reachability.OnAnswered(now);
+    cr_expect_not(reachability.ShouldDivert(/*zone_serves_all=*/false,
+                                            now + milliseconds(900)));
   }
 }
 
-// A few lookups that the zone can serve come between: a host that changes its
-// word with each of them is in and out of rotation, and callers stay.
-Test(zone_reachability,
-     it_keeps_its_word_until_something_answers_from_outside) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  LoseTargets(watch, 4);
-  Refuse(watch, 4);
+// Guards against a host that changes its decision with each request that the
+// zone can serve: its readiness would alternate, and callers would stay.
+Test(zone_reachability, diverts_until_another_zone_answers) {
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  ReportSilentTargets(reachability, 4);
+  ReportRefusedRequests(reachability, 4);
   const TimePoint now = kStart + seconds(1);
-  cr_assert(watch.should_send_away(/*zone_serves_all=*/true, now));
+  cr_assert(reachability.ShouldDivert(/*zone_serves_all=*/true, now));
   for (int i = 0; i < 5; ++i) {
-    watch.OnRequest(/*is_served=*/true, now);
+    reachability.OnRequestEnded(/*is_served=*/true, now);
   }
-  cr_expect(watch.should_send_away(/*zone_serves_all=*/true, now));
+  cr_expect(reachability.ShouldDivert(/*zone_serves_all=*/true, now));
 }
 
-// Guards against one host of a cut off zone that stays ready for a second,
-// and gets all of the zone's callers: its requests were sent, and failed.
+// Guards against a host of a cut off zone that stays ready for a second and
+// receives all of the zone's callers, because requests that were sent and
+// failed did not count.
 Test(zone_reachability, requests_that_were_sent_and_failed_count_as_unserved) {
-  ZoneReachability watch;
-  watch.OnAnswered(kStart);
-  watch.OnTold(/*is_cut_off=*/true, kStart + milliseconds(800));
+  ZoneReachability reachability;
+  reachability.OnAnswered(kStart);
+  reachability.OnControlReport(/*is_cut_off=*/true, kStart + milliseconds(800));
   const TimePoint now = kStart + milliseconds(1250);
-  watch.OnRequest(/*is_served=*/false, now);
-  cr_expect(watch.should_send_away(/*zone_serves_all=*/false, now));
+  reachability.OnRequestEnded(/*is_served=*/false, now);
+  cr_expect(reachability.ShouldDivert(/*zone_serves_all=*/false, now));
 }
 
 }  // namespace
