--- a/knapweedroad/edge/entry_parts.h
+++ b/knapweedroad/edge/entry_parts.h
@@ -13,7 +13,7 @@
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/edge/run_plan.h"
 #include "knapweedroad/rollout/answer_sampler.h"
-#include "knapweedroad/routing/answer_lead.h"
+#include "knapweedroad/routing/answer_lead_time.h"
 #include "knapweedroad/routing/retry_budget.h"
 #include "knapweedroad/routing/shard_shedding.h"
 
@@ -44,7 +44,7 @@
   AnswerSampler sampler;
   RelayChoice& relays;
   GatherLinks& gather_links;
-  AnswerLead lead{{}};
+  AnswerLeadTime lead{{}};
   std::unordered_map<ServiceId, RetryBudget> budgets;
   std::unordered_map<std::string, RouteMemory> routes;
   // Null until the first configuration has come.
--- a/knapweedroad/edge/entry_request.cc
+++ b/knapweedroad/edge/entry_request.cc
@@ -128,7 +128,7 @@
   } else {
     options.services.push_back(this->parts.rotation.Next(to));
   }
-  this->target_at = options.target_at;
+  this->target_at = options.latency_target_at;
   this->deadline = options.deadline;
   return options;
 }
@@ -139,16 +139,17 @@
 }
 
 void EntryRequest::MakeHooks() {
-  this->hooks.pick = [this](const ServiceId& service,
-                            std::span<const TargetId> tried) {
+  this->hooks.pick_target = [this](const ServiceId& service,
+                                   std::span<const TargetId> tried) {
     return this->parts.balancer.Pick(service, tried, Runtime::Now(),
                                      this->gathers->near_zones());
   };
-  this->hooks.is_served = [this](const ServiceId& service,
-                                 std::span<const TargetId> tried) {
+  this->hooks.has_untried_target = [this](const ServiceId& service,
+                                          std::span<const TargetId> tried) {
     return this->parts.balancer.IsServed(service, Runtime::Now(), tried);
   };
-  this->hooks.spend_extra = [this](const ServiceId& service, bool is_hedge) {
+  this->hooks.spend_extra_attempt = [this](const ServiceId& service,
+                                           bool is_hedge) {
     const TimePoint now = Runtime::Now();
     const size_t hosts = this->parts.balancer.entry_hosts();
     RetryBudget& budget = this->parts.BudgetOf(service);
@@ -157,8 +158,9 @@
     this->parts.metrics.CountExtra(sent);
     return sent;
   };
-  this->hooks.leave_out = [this](size_t most) {
-    return this->parts.shedding.Choose(this->services, most, Runtime::Now());
+  this->hooks.choose_shards_to_skip = [this](size_t max_shards) {
+    return this->parts.shedding.ChooseShardsToSkip(this->services, max_shards,
+                                                   Runtime::Now());
   };
   // A caller who comes back has little of the latency target left: parts that
   // are late for it say nothing of their shards.
@@ -186,7 +188,7 @@
   this->services = options.services;
   this->reply_within = GatherWithin(*this->route, *this->memory);
   this->gather_slack =
-      std::max(Duration::zero(), this->reply_within - options.hedge_after) +
+      std::max(Duration::zero(), this->reply_within - options.hedge_delay) +
       kGatherSlack;
   this->gathers.emplace(
       RequestGathersOptions{.parts = this->parts,
@@ -250,10 +252,10 @@
     }
   }
   if (!merged.empty()) {
-    this->Do(this->run->OnMerged(
+    this->Do(this->run->OnMergedAnswers(
         merged,
         {.records = std::move(gathered.records),
-         .held = this->gathers->Hold(std::move(gathered.held))},
+         .withheld_id = this->gathers->Hold(std::move(gathered.held))},
         now));
   }
   for (auto& part : others) {
@@ -261,7 +263,8 @@
   }
   for (const uint32_t attempt : gathered.lost) {
     this->attempts->TakeLost(attempt, now);
-    this->Do(this->run->OnEnd(attempt, AttemptEnd::kBroken, now));
+    this->Do(
+        this->run->OnAttemptFailed(attempt, AttemptFailure::kMayHaveRun, now));
   }
   for (const AttemptStart& start : gathered.not_tried) {
     if (this->is_over) {
@@ -278,10 +281,10 @@
 void EntryRequest::Do(RunStep step) {
   const bool is_first = std::exchange(this->is_starting, false);
   for (const GatherGroup& group : this->gathers->Split(
-           step.start, /*may_merge=*/is_first, Runtime::Now())) {
+           step.starts, /*may_merge=*/is_first, Runtime::Now())) {
     this->SendGroup(group, is_first);
   }
-  for (const AttemptStart& start : step.start) {
+  for (const AttemptStart& start : step.starts) {
     this->Send(start);
   }
   if (step.end) {
@@ -323,16 +326,19 @@
       this->Do(this->run->OnAnswer(number, std::move(reply.answer), now));
       return;
     case AttemptOutcome::kFailure:
-      this->Do(this->run->OnFailure(number, std::move(reply.answer), now));
+      this->Do(this->run->OnErrorAnswer(number, std::move(reply.answer), now));
       return;
     case AttemptOutcome::kNeverSent:
-      this->Do(this->run->OnEnd(number, AttemptEnd::kNeverSent, now));
+      this->Do(
+          this->run->OnAttemptFailed(number, AttemptFailure::kNotSent, now));
       return;
     case AttemptOutcome::kDeclined:
-      this->Do(this->run->OnEnd(number, AttemptEnd::kDeclined, now));
+      this->Do(
+          this->run->OnAttemptFailed(number, AttemptFailure::kDeclined, now));
       return;
     case AttemptOutcome::kBroken:
-      this->Do(this->run->OnEnd(number, AttemptEnd::kBroken, now));
+      this->Do(
+          this->run->OnAttemptFailed(number, AttemptFailure::kMayHaveRun, now));
       return;
   }
 }
--- a/knapweedroad/edge/parts_answer.cc
+++ b/knapweedroad/edge/parts_answer.cc
@@ -28,7 +28,7 @@
   CallerAnswer answer;
   AppendLine(answer.header, header_names.part_seals, seals);
   AppendLine(answer.header, header_names.missing_parts,
-             std::to_string(end.missing));
+             std::to_string(end.missing_parts));
   answer.body = MergeRecords(bodies, top_records);
   return answer;
 }
--- a/knapweedroad/edge/parts_answer_test.cc
+++ b/knapweedroad/edge/parts_answer_test.cc
@@ -21,7 +21,7 @@
   const RunEnd end{.kind = RunEndKind::kParts,
                    .parts = {{.seal = "one", .body = Record('a') + Record('c')},
                              {.seal = "two", .body = Record('b')}},
-                   .missing = 1};
+                   .missing_parts = 1};
   const CallerAnswer answer = MakePartsAnswer(HeaderNames(), end, 2);
   cr_expect(answer.header ==
             "Knapweed-Part-Seals: one, two\r\nKnapweed-Missing-Parts: 1\r\n");
--- a/knapweedroad/edge/request_gathers.cc
+++ b/knapweedroad/edge/request_gathers.cc
@@ -108,12 +108,12 @@
   const size_t top = this->route.top_records;
   const std::string answer = MergeRecords(bodies, top);
   for (TargetAnswer& part : end.parts) {
-    if (part.held == 0) {
+    if (part.withheld_id == 0) {
       continue;
     }
     const bool needs = MayNeedHeld(
         answer, top,
-        {.sent = part.body, .held = this->held[part.held - 1].count});
+        {.sent = part.body, .held = this->held[part.withheld_id - 1].count});
     this->memory.record_cut.OnUsed(!needs);
     if (needs) {
       need.push_back(&part);
@@ -139,7 +139,7 @@
       Completion{.waiting = need.size(), .done = std::move(done)});
   for (TargetAnswer* const part : need) {
     this->parts.gather_links.FetchHeld(
-        this->held[part->held - 1],
+        this->held[part->withheld_id - 1],
         [completion, end, part](const std::optional<std::string>& records) {
           completion->is_whole = completion->is_whole && records.has_value();
           part->body += records.value_or("");
--- a/knapweedroad/edge/request_gathers.h
+++ b/knapweedroad/edge/request_gathers.h
@@ -60,7 +60,7 @@
                                  bool may_merge,
                                  TimePoint now);
 
-  // Remembers what was held back; the name of it, for TargetAnswer::held.
+  // Remembers what was held back; its TargetAnswer::withheld_id.
   size_t Hold(HeldRecords held);
 
   // Whether some of what was held back may belong to the answer. It is then
--- a/knapweedroad/edge/request_log.cc
+++ b/knapweedroad/edge/request_log.cc
@@ -39,7 +39,7 @@
                    const std::function<std::string()>& unserved) {
   const bool is_served =
       end.kind == RunEndKind::kParts || end.kind == RunEndKind::kAnswer;
-  const bool is_whole = is_served && end.missing == 0;
+  const bool is_whole = is_served && end.missing_parts == 0;
   if (is_whole && status < kLeastNoSuccess &&
       took <= context.route.latency_target) {
     return;
@@ -52,9 +52,9 @@
       .Add("status", status)
       .Add("took_ms", Ms(took))
       .Add("allowed_ms", Ms(context.allowed))
-      .Add("missing", end.missing)
-      .Add("attempts", context.run.attempts())
-      .Add("extra", context.run.extra_attempts())
+      .Add("missing", end.missing_parts)
+      .Add("attempts", context.run.attempt_count())
+      .Add("extra", context.run.extra_attempt_count())
       .Add("version", context.version)
       .Add("attempt_log", context.attempt_log)
       .Add("unserved", is_whole ? std::string() : unserved())
@@ -67,7 +67,7 @@
       .Add("route", context.route.name)
       .Add("took_ms", Ms(took))
       .Add("allowed_ms", Ms(context.allowed))
-      .Add("attempts", context.run.attempts())
+      .Add("attempts", context.run.attempt_count())
       .Add("attempt_log", context.attempt_log)
       .Info();
 }
--- a/knapweedroad/edge/run_plan.cc
+++ b/knapweedroad/edge/run_plan.cc
@@ -54,11 +54,12 @@
           .idempotent = route.idempotent || route.is_scatter,
           .max_attempts = route.max_attempts,
           .min_share = route.is_scatter ? route.min_share : 1,
-          .target_at = request.received + route.latency_target - elapsed - lead,
+          .latency_target_at =
+              request.received + route.latency_target - elapsed - lead,
           .deadline = request.received + std::min(told, route.timeout),
-          .hedge_after = UsualAtMost(route, memory.latency),
-          .retry_when_busy = route.latency_target / kBusyRetryPart,
-          .retry_when_down = kRetryWhenDown};
+          .hedge_delay = UsualAtMost(route, memory.latency),
+          .busy_retry_after = route.latency_target / kBusyRetryPart,
+          .no_target_retry_after = kRetryWhenDown};
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/edge/run_plan_test.cc
+++ b/knapweedroad/edge/run_plan_test.cc
@@ -24,7 +24,7 @@
   RouteMemory memory;
   const RequestRunOptions options = PlanRun(
       ScatterRoute(), {.time_left = kWait, .received = kNow}, memory, kLead);
-  cr_expect(options.target_at == kNow + kAim - kLead);
+  cr_expect(options.latency_target_at == kNow + kAim - kLead);
   cr_expect(options.deadline == kNow + kWait);
 }
 
@@ -38,7 +38,7 @@
       ScatterRoute(), {.time_left = kWait - milliseconds(60), .received = kNow},
       memory, kLead);
   // One request lets the longest wait fade by a thousandth.
-  const Duration left = options.target_at - kNow;
+  const Duration left = options.latency_target_at - kNow;
   cr_expect(left >= kAim - milliseconds(60) - kLead);
   cr_expect(left <= kAim - milliseconds(60) - kLead + kWait / 1000);
 }
--- a/knapweedroad/routing/request_run.cc
+++ b/knapweedroad/routing/request_run.cc
@@ -7,25 +7,25 @@
 namespace knapweedroad {
 namespace {
 
-constexpr uint32_t kEnded = UINT32_MAX;
+constexpr uint32_t kEndedAttempt = UINT32_MAX;
 // A second attempt for which no target promised to be in time is looked for
 // again after this.
-constexpr Duration kHedgeRetry = std::chrono::milliseconds(10);
+constexpr Duration kHedgeRetryDelay = std::chrono::milliseconds(10);
 // The same where the bound on extra attempts didn't allow it.
-constexpr Duration kRefusedHedgeRetry = std::chrono::milliseconds(30);
+constexpr Duration kRefusedHedgeRetryDelay = std::chrono::milliseconds(30);
 // One whose targets all turned a new connection away is asked again after about
 // as long as an attempt holds a place, and each time twice as long after that.
-constexpr Duration kUnreachedRetry = std::chrono::milliseconds(10);
-constexpr int kUnreachedBackoff = 2;
+constexpr Duration kUnreachedRetryDelay = std::chrono::milliseconds(10);
+constexpr int kUnreachedBackoffFactor = 2;
 // A request whose targets turn it away for this long is refused: its caller may
 // find another host that has a place.
-constexpr Duration kUnreachedPatience = std::chrono::milliseconds(450);
+constexpr Duration kMaxUnreachedTime = std::chrono::milliseconds(450);
 
-size_t LeastAnswers(size_t shards, double min_share) {
-  const double least = min_share * static_cast<double>(shards);
+size_t MinAnswers(size_t shards, double min_share) {
+  const double min_parts = min_share * static_cast<double>(shards);
   // The share is a decimal: 0.9 of 10 is 9, not 9.000000001.
-  const auto whole = static_cast<size_t>(std::ceil(least - 1e-9));
-  return std::max<size_t>(whole, 1);
+  const auto smallest_count = static_cast<size_t>(std::ceil(min_parts - 1e-9));
+  return std::max<size_t>(smallest_count, 1);
 }
 
 }  // namespace
@@ -34,175 +34,176 @@
     : options(std::move(options)),
       hooks(hooks),
       shards(this->options.services.size()),
-      open(this->shards.size()),
-      needed(LeastAnswers(this->shards.size(), this->options.min_share)) {}
+      pending_count(this->shards.size()),
+      min_answers(MinAnswers(this->shards.size(), this->options.min_share)) {}
 
-void RequestRun::Enter(Shard& shard, ShardState next) {
-  this->open -= shard.state == ShardState::kOpen ? 1 : 0;
-  this->open += next == ShardState::kOpen ? 1 : 0;
+void RequestRun::SetState(Shard& shard, ShardState next) {
+  this->pending_count -= shard.state == ShardState::kPending ? 1 : 0;
+  this->pending_count += next == ShardState::kPending ? 1 : 0;
   shard.state = next;
 }
 
-RequestRun::Shard* RequestRun::ShardOf(uint32_t attempt) {
+RequestRun::Shard* RequestRun::EndAttempt(uint32_t attempt) {
   if (attempt >= this->attempt_shards.size() ||
-      this->attempt_shards[attempt] == kEnded) {
+      this->attempt_shards[attempt] == kEndedAttempt) {
     return nullptr;
   }
   Shard* const shard = &this->shards[this->attempt_shards[attempt]];
-  this->attempt_shards[attempt] = kEnded;
-  --shard->out;
+  this->attempt_shards[attempt] = kEndedAttempt;
+  --shard->in_flight;
   return shard;
 }
 
 // False: no target can take it now, or no further attempt is allowed.
-bool RequestRun::Begin(size_t index,
-                       bool is_hedge,
-                       TimePoint now,
-                       RunStep& step) {
+bool RequestRun::StartAttempt(size_t index,
+                              bool is_hedge,
+                              TimePoint now,
+                              RunStep& step) {
   Shard& shard = this->shards[index];
   const ServiceId& service = this->options.services[index];
-  const auto target = this->hooks.pick(service, shard.tried);
+  const auto target = this->hooks.pick_target(service, shard.tried);
   if (!target) {
     return false;
   }
-  if (shard.arrived > 0) {
-    if (!this->hooks.spend_extra(service, is_hedge)) {
-      shard.hedge_refused = true;
+  if (shard.delivered > 0) {
+    if (!this->hooks.spend_extra_attempt(service, is_hedge)) {
+      shard.extra_attempt_refused = true;
       return false;
     }
-    ++this->extra;
+    ++this->extra_count;
   }
   const auto attempt = static_cast<uint32_t>(this->attempt_shards.size());
   this->attempt_shards.push_back(static_cast<uint32_t>(index));
   this->attempt_targets.push_back(*target);
   shard.tried.push_back(*target);
-  ++shard.sent;
-  ++shard.out;
-  ++shard.arrived;
-  shard.hedge_at = now + this->options.hedge_after;
-  shard.is_waiting = false;
-  ++this->unproven;
-  step.start.push_back(
-      {.attempt = attempt, .service = index, .target = *target});
+  ++shard.attempt_count;
+  ++shard.in_flight;
+  ++shard.delivered;
+  shard.hedge_at = now + this->options.hedge_delay;
+  shard.waits_for_target = false;
+  ++this->may_have_run_count;
+  step.starts.push_back(
+      {.attempt = attempt, .service_index = index, .target = *target});
   return true;
 }
 
-void RequestRun::LeaveOut() {
-  if (!this->options.is_scatter || !this->hooks.leave_out) {
+void RequestRun::SkipOverloadedShards() {
+  if (!this->options.is_scatter || !this->hooks.choose_shards_to_skip) {
     return;
   }
-  for (const size_t index :
-       this->hooks.leave_out(this->shards.size() - this->needed)) {
-    this->Enter(this->shards[index], ShardState::kLeftOut);
+  for (const size_t index : this->hooks.choose_shards_to_skip(
+           this->shards.size() - this->min_answers)) {
+    this->SetState(this->shards[index], ShardState::kSkipped);
   }
 }
 
-void RequestRun::TakeIn(TimePoint now, RunStep& step) {
-  this->known_wake.reset();
+void RequestRun::ResumeSkippedShards(TimePoint now, RunStep& step) {
+  this->cached_wake_at.reset();
   for (size_t i = 0; i < this->shards.size(); ++i) {
     Shard& shard = this->shards[i];
-    if (shard.state != ShardState::kLeftOut) {
+    if (shard.state != ShardState::kSkipped) {
       continue;
     }
-    const bool is_served =
-        this->hooks.is_served(this->options.services[i], shard.tried);
-    this->Enter(shard, is_served ? ShardState::kOpen : ShardState::kHopeless);
-    shard.is_waiting =
-        is_served && (now < shard.wait_until ||
-                      !this->Begin(i, /*is_hedge=*/false, now, step));
+    const bool has_target =
+        this->hooks.has_untried_target(this->options.services[i], shard.tried);
+    this->SetState(shard,
+                   has_target ? ShardState::kPending : ShardState::kFailed);
+    shard.waits_for_target =
+        has_target && (now < shard.retry_at ||
+                       !this->StartAttempt(i, /*is_hedge=*/false, now, step));
   }
 }
 
-void RequestRun::Judge(Shard& shard, bool in_time) {
-  if (!std::exchange(shard.is_judged, true) && this->hooks.on_part) {
+void RequestRun::ReportPart(Shard& shard, bool in_time) {
+  if (!std::exchange(shard.is_part_reported, true) && this->hooks.on_part) {
     const auto index = static_cast<size_t>(&shard - this->shards.data());
     this->hooks.on_part(this->options.services[index], in_time);
   }
 }
 
-void RequestRun::JudgeLate(TimePoint now) {
-  if (now < this->options.target_at) {
+void RequestRun::ReportLateParts(TimePoint now) {
+  if (now < this->options.latency_target_at) {
     return;
   }
   for (Shard& shard : this->shards) {
-    if (shard.state == ShardState::kOpen) {
-      this->Judge(shard, /*in_time=*/false);
+    if (shard.state == ShardState::kPending) {
+      this->ReportPart(shard, /*in_time=*/false);
     }
   }
 }
 
 RunStep RequestRun::Start(TimePoint now) {
   RunStep step;
-  this->started = now;
-  this->LeaveOut();
-  size_t served = 0;
+  this->started_at = now;
+  this->SkipOverloadedShards();
+  size_t services_with_target = 0;
   for (const ServiceId& service : this->options.services) {
-    served += this->hooks.is_served(service, {}) ? 1 : 0;
+    services_with_target += this->hooks.has_untried_target(service, {}) ? 1 : 0;
   }
   for (size_t i = 0; i < this->shards.size(); ++i) {
     // Without enough services that have a target the answer can't become a
     // success: nothing is sent, and the caller hears at once when to come back.
-    if (served < this->needed && this->options.is_scatter) {
-      this->Enter(this->shards[i], ShardState::kHopeless);
+    if (services_with_target < this->min_answers && this->options.is_scatter) {
+      this->SetState(this->shards[i], ShardState::kFailed);
       continue;
     }
-    if (this->shards[i].state == ShardState::kLeftOut) {
+    if (this->shards[i].state == ShardState::kSkipped) {
       continue;
     }
-    if (!this->Begin(i, /*is_hedge=*/false, now, step)) {
-      this->shards[i].is_waiting =
-          this->hooks.is_served(this->options.services[i], {});
-      if (!this->shards[i].is_waiting) {
-        this->Enter(this->shards[i], ShardState::kHopeless);
+    if (!this->StartAttempt(i, /*is_hedge=*/false, now, step)) {
+      this->shards[i].waits_for_target =
+          this->hooks.has_untried_target(this->options.services[i], {});
+      if (!this->shards[i].waits_for_target) {
+        this->SetState(this->shards[i], ShardState::kFailed);
       }
     }
   }
-  return this->Finish(std::move(step), now);
+  return this->FinishStep(std::move(step), now);
 }
 
 RunStep RequestRun::OnAnswer(uint32_t attempt,
                              TargetAnswer answer,
                              TimePoint now) {
   RunStep step;
-  if (this->over) {
+  if (this->ended) {
     return step;
   }
-  Shard* const shard = this->ShardOf(attempt);
+  Shard* const shard = this->EndAttempt(attempt);
   if (shard != nullptr && shard->state != ShardState::kAnswered) {
-    this->Enter(*shard, ShardState::kAnswered);
-    this->Judge(*shard, now <= this->options.target_at);
+    this->SetState(*shard, ShardState::kAnswered);
+    this->ReportPart(*shard, now <= this->options.latency_target_at);
     this->answers.push_back(std::move(answer));
-    this->answer_places.push_back(
-        {.shard = static_cast<size_t>(shard - this->shards.data())});
+    this->answer_sources.push_back(
+        {.shard_index = static_cast<size_t>(shard - this->shards.data())});
   }
-  return this->Finish(std::move(step), now);
+  return this->FinishStep(std::move(step), now);
 }
 
-void RequestRun::DropAnswer(size_t shard_index) {
-  const auto at =
-      std::ranges::find(this->answer_places, shard_index, &AnswerPlace::shard);
-  if (at == this->answer_places.end()) {
+void RequestRun::RemoveAnswer(size_t shard_index) {
+  const auto at = std::ranges::find(this->answer_sources, shard_index,
+                                    &AnswerSource::shard_index);
+  if (at == this->answer_sources.end()) {
     return;
   }
   this->answers.erase(this->answers.begin() +
-                      (at - this->answer_places.begin()));
-  this->answer_places.erase(at);
+                      (at - this->answer_sources.begin()));
+  this->answer_sources.erase(at);
 }
 
-bool RequestRun::MayReplace(std::span<const MergedAnswer> merged) const {
+bool RequestRun::CanReplaceAnswers(std::span<const MergedAnswer> merged) const {
   size_t answered = 0;
-  for (const MergedAnswer& each : merged) {
-    if (each.attempt >= this->attempt_shards.size() ||
-        this->attempt_shards[each.attempt] == kEnded) {
+  for (const MergedAnswer& answer : merged) {
+    if (answer.attempt >= this->attempt_shards.size() ||
+        this->attempt_shards[answer.attempt] == kEndedAttempt) {
       return false;
     }
-    const size_t shard = this->attempt_shards[each.attempt];
-    const auto place =
-        std::ranges::find(this->answer_places, shard, &AnswerPlace::shard);
-    if (place == this->answer_places.end()) {
+    const size_t shard = this->attempt_shards[answer.attempt];
+    const auto source = std::ranges::find(this->answer_sources, shard,
+                                          &AnswerSource::shard_index);
+    if (source == this->answer_sources.end()) {
       continue;
     }
-    if (place->is_merged) {
+    if (source->is_merged) {
       return false;
     }
     ++answered;
@@ -212,184 +213,190 @@
 
 // Merged records can't be taken apart: where a shard was answered twice, the
 // answer that came alone gives way.
-RunStep RequestRun::OnMerged(std::span<const MergedAnswer> merged,
-                             MergedBody body,
-                             TimePoint now) {
+RunStep RequestRun::OnMergedAnswers(std::span<const MergedAnswer> merged,
+                                    MergedBody body,
+                                    TimePoint now) {
   RunStep step;
-  if (this->over) {
+  if (this->ended) {
     return step;
   }
-  if (!this->MayReplace(merged)) {
-    for (const MergedAnswer& each : merged) {
-      Shard* const shard = this->ShardOf(each.attempt);
+  if (!this->CanReplaceAnswers(merged)) {
+    for (const MergedAnswer& answer : merged) {
+      Shard* const shard = this->EndAttempt(answer.attempt);
       if (shard != nullptr) {
-        this->TryAgain(static_cast<size_t>(shard - this->shards.data()),
-                       /*is_proven_not_run=*/false, now, step);
+        this->Retry(static_cast<size_t>(shard - this->shards.data()),
+                    /*is_proven_not_run=*/false, now, step);
       }
     }
-    return this->Finish(std::move(step), now);
+    return this->FinishStep(std::move(step), now);
   }
-  for (const MergedAnswer& each : merged) {
-    Shard* const shard = this->ShardOf(each.attempt);
+  for (const MergedAnswer& answer : merged) {
+    Shard* const shard = this->EndAttempt(answer.attempt);
     const auto index = static_cast<size_t>(shard - this->shards.data());
-    this->DropAnswer(index);
-    this->Enter(*shard, ShardState::kAnswered);
-    this->Judge(*shard, now <= this->options.target_at);
-    this->answers.push_back({.status = 200,
-                             .seal = each.seal,
-                             .body = std::exchange(body.records, {}),
-                             .held = std::exchange(body.held, 0)});
-    this->answer_places.push_back(
-        {.shard = index, .is_merged = merged.size() > 1});
-  }
-  return this->Finish(std::move(step), now);
+    this->RemoveAnswer(index);
+    this->SetState(*shard, ShardState::kAnswered);
+    this->ReportPart(*shard, now <= this->options.latency_target_at);
+    this->answers.push_back(
+        {.status = 200,
+         .seal = answer.seal,
+         .body = std::exchange(body.records, {}),
+         .withheld_id = std::exchange(body.withheld_id, 0)});
+    this->answer_sources.push_back(
+        {.shard_index = index, .is_merged = merged.size() > 1});
+  }
+  return this->FinishStep(std::move(step), now);
 }
 
-void RequestRun::DelayHedge(uint32_t attempt, Duration by) {
+void RequestRun::DelayHedge(uint32_t attempt, Duration delay) {
   if (attempt < this->attempt_shards.size() &&
-      this->attempt_shards[attempt] != kEnded) {
-    this->shards[this->attempt_shards[attempt]].hedge_at += by;
-    this->known_wake.reset();
+      this->attempt_shards[attempt] != kEndedAttempt) {
+    this->shards[this->attempt_shards[attempt]].hedge_at += delay;
+    this->cached_wake_at.reset();
   }
 }
 
-RunStep RequestRun::OnFailure(uint32_t attempt,
-                              TargetAnswer answer,
-                              TimePoint now) {
+RunStep RequestRun::OnErrorAnswer(uint32_t attempt,
+                                  TargetAnswer answer,
+                                  TimePoint now) {
   RunStep step;
-  if (this->over) {
+  if (this->ended) {
     return step;
   }
-  Shard* const shard = this->ShardOf(attempt);
+  Shard* const shard = this->EndAttempt(attempt);
   if (shard != nullptr) {
-    shard->failure = std::move(answer);
+    shard->error_answer = std::move(answer);
     const auto index = static_cast<size_t>(shard - this->shards.data());
-    this->TryAgain(index, /*is_proven_not_run=*/false, now, step);
+    this->Retry(index, /*is_proven_not_run=*/false, now, step);
   }
-  return this->Finish(std::move(step), now);
+  return this->FinishStep(std::move(step), now);
 }
 
-RunStep RequestRun::OnEnd(uint32_t attempt, AttemptEnd end, TimePoint now) {
+RunStep RequestRun::OnAttemptFailed(uint32_t attempt,
+                                    AttemptFailure failure,
+                                    TimePoint now) {
   RunStep step;
-  if (this->over) {
+  if (this->ended) {
     return step;
   }
-  Shard* const shard = this->ShardOf(attempt);
+  Shard* const shard = this->EndAttempt(attempt);
   if (shard == nullptr) {
-    return this->Finish(std::move(step), now);
+    return this->FinishStep(std::move(step), now);
   }
   const TargetId target = this->attempt_targets[attempt];
-  if (end == AttemptEnd::kNeverSent) {
-    --shard->sent;
-    --shard->arrived;
+  if (failure == AttemptFailure::kNotSent) {
+    --shard->attempt_count;
+    --shard->delivered;
     shard->unreached.push_back(target);
   }
-  if (end != AttemptEnd::kBroken) {
-    --this->unproven;
+  if (failure != AttemptFailure::kMayHaveRun) {
+    --this->may_have_run_count;
   }
-  shard->was_declined = end == AttemptEnd::kDeclined;
+  shard->was_declined = failure == AttemptFailure::kDeclined;
   const auto index = static_cast<size_t>(shard - this->shards.data());
-  if (end == AttemptEnd::kBroken) {
-    shard->failure.reset();
+  if (failure == AttemptFailure::kMayHaveRun) {
+    shard->error_answer.reset();
   }
-  this->TryAgain(index, end != AttemptEnd::kBroken, now, step);
-  return this->Finish(std::move(step), now);
+  this->Retry(index, failure != AttemptFailure::kMayHaveRun, now, step);
+  return this->FinishStep(std::move(step), now);
 }
 
 // A request that isn't idempotent goes on only after proof that no attempt of
 // it ran: another one after a silence may run it twice.
-void RequestRun::TryAgain(size_t index,
-                          bool is_proven_not_run,
-                          TimePoint now,
-                          RunStep& step) {
-  this->known_wake.reset();
+void RequestRun::Retry(size_t index,
+                       bool is_proven_not_run,
+                       TimePoint now,
+                       RunStep& step) {
+  this->cached_wake_at.reset();
   Shard& shard = this->shards[index];
-  if (shard.state == ShardState::kAnswered || shard.out > 0) {
+  if (shard.state == ShardState::kAnswered || shard.in_flight > 0) {
     return;
   }
-  const bool may = (this->options.idempotent || is_proven_not_run) &&
-                   shard.sent < this->options.max_attempts &&
-                   now < this->options.deadline;
-  if (may && this->Begin(index, /*is_hedge=*/false, now, step)) {
+  const bool may_retry = (this->options.idempotent || is_proven_not_run) &&
+                         shard.attempt_count < this->options.max_attempts &&
+                         now < this->options.deadline;
+  if (may_retry && this->StartAttempt(index, /*is_hedge=*/false, now, step)) {
     return;
   }
-  if (may && this->SetAside(shard, now)) {
+  if (may_retry && this->SkipUnreachedShard(shard, now)) {
     return;
   }
-  const bool can_wait =
-      may && !shard.hedge_refused && shard.arrived == 0 &&
-      this->hooks.is_served(this->options.services[index], shard.tried);
-  if (can_wait) {
-    shard.is_waiting = true;
+  const bool can_wait_for_target =
+      may_retry && !shard.extra_attempt_refused && shard.delivered == 0 &&
+      this->hooks.has_untried_target(this->options.services[index],
+                                     shard.tried);
+  if (can_wait_for_target) {
+    shard.waits_for_target = true;
     return;
   }
-  this->Enter(shard, ShardState::kHopeless);
+  this->SetState(shard, ShardState::kFailed);
 }
 
 // After a loss of power targets still hold their old connections and turn new
 // ones away, while places come free all the time. Their shards are tried again
 // with increasing pauses, as each try costs the target a connection, and the
 // answer goes without them if it can.
-bool RequestRun::SetAside(Shard& shard, TimePoint now) {
-  if (shard.arrived > 0 || shard.unreached.empty() ||
-      now - this->started >= kUnreachedPatience) {
+bool RequestRun::SkipUnreachedShard(Shard& shard, TimePoint now) {
+  if (shard.delivered > 0 || shard.unreached.empty() ||
+      now - this->started_at >= kMaxUnreachedTime) {
     return false;
   }
   std::erase_if(shard.tried, [&](const TargetId& target) {
     return std::ranges::find(shard.unreached, target) != shard.unreached.end();
   });
   shard.unreached.clear();
-  shard.pause = shard.pause == Duration::zero()
-                    ? kUnreachedRetry
-                    : shard.pause * kUnreachedBackoff;
-  shard.wait_until =
-      std::min(now + shard.pause, this->started + kUnreachedPatience);
-  this->Enter(shard, ShardState::kLeftOut);
+  shard.retry_delay = shard.retry_delay == Duration::zero()
+                          ? kUnreachedRetryDelay
+                          : shard.retry_delay * kUnreachedBackoffFactor;
+  shard.retry_at =
+      std::min(now + shard.retry_delay, this->started_at + kMaxUnreachedTime);
+  this->SetState(shard, ShardState::kSkipped);
   return true;
 }
 
-void RequestRun::Hedge(TimePoint now, RunStep& step) {
-  this->known_wake.reset();
+void RequestRun::StartDueAttempts(TimePoint now, RunStep& step) {
+  this->cached_wake_at.reset();
   for (size_t i = 0; i < this->shards.size(); ++i) {
     Shard& shard = this->shards[i];
-    if (shard.state != ShardState::kOpen) {
+    if (shard.state != ShardState::kPending) {
       continue;
     }
-    if (shard.is_waiting) {
-      if (now < shard.wait_until) {
+    if (shard.waits_for_target) {
+      if (now < shard.retry_at) {
         continue;
       }
-      if (!this->Begin(i, /*is_hedge=*/false, now, step) &&
-          !this->hooks.is_served(this->options.services[i], shard.tried)) {
-        this->Enter(shard, ShardState::kHopeless);
+      if (!this->StartAttempt(i, /*is_hedge=*/false, now, step) &&
+          !this->hooks.has_untried_target(this->options.services[i],
+                                          shard.tried)) {
+        this->SetState(shard, ShardState::kFailed);
       }
       continue;
     }
-    const bool due = this->options.idempotent && shard.out > 0 &&
-                     shard.sent < this->options.max_attempts &&
-                     now >= shard.hedge_at;
-    if (!due) {
+    const bool is_due = this->options.idempotent && shard.in_flight > 0 &&
+                        shard.attempt_count < this->options.max_attempts &&
+                        now >= shard.hedge_at;
+    if (!is_due) {
       continue;
     }
-    shard.hedge_refused = false;
+    shard.extra_attempt_refused = false;
     // An answer that is late and still waits can't do without the shard.
-    const bool is_hedge = now < this->options.target_at;
-    if (!this->Begin(i, is_hedge, now, step)) {
+    const bool is_hedge = now < this->options.latency_target_at;
+    if (!this->StartAttempt(i, is_hedge, now, step)) {
       shard.hedge_at =
-          now + (shard.hedge_refused ? kRefusedHedgeRetry : kHedgeRetry);
+          now + (shard.extra_attempt_refused ? kRefusedHedgeRetryDelay
+                                             : kHedgeRetryDelay);
     }
   }
 }
 
 RunStep RequestRun::OnWake(TimePoint now) {
   RunStep step;
-  if (this->over) {
+  if (this->ended) {
     return step;
   }
   if (now < this->options.deadline) {
-    this->Hedge(now, step);
+    this->StartDueAttempts(now, step);
   }
-  return this->Finish(std::move(step), now);
+  return this->FinishStep(std::move(step), now);
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/request_run_end.cc
+++ b/knapweedroad/routing/request_run_end.cc
@@ -9,10 +9,10 @@
 namespace {
 
 // How often a service whose targets are all busy here is asked again.
-constexpr Duration kBusyRetry = std::chrono::milliseconds(4);
+constexpr Duration kBusyRetryDelay = std::chrono::milliseconds(4);
 // The same as kBusyRetry once the answer is late: those that may still be in
 // time go first.
-constexpr Duration kLateBusyRetry = std::chrono::milliseconds(25);
+constexpr Duration kLateBusyRetryDelay = std::chrono::milliseconds(25);
 
 }  // namespace
 
@@ -33,11 +33,11 @@
 }
 
 void RequestRun::End(RunStep& step, RunEnd end) {
-  this->over = true;
+  this->ended = true;
   step.end = std::move(end);
 }
 
-void RequestRun::EndWithParts(RunStep& step, std::string_view cause) {
+void RequestRun::EndWithSuccess(RunStep& step, std::string_view cause) {
   const size_t missing = this->shards.size() - this->answers.size();
   if (!this->options.is_scatter) {
     this->End(step, {.kind = RunEndKind::kAnswer,
@@ -48,29 +48,31 @@
   this->End(step, {.kind = RunEndKind::kParts,
                    .cause = cause,
                    .parts = std::move(this->answers),
-                   .missing = missing});
+                   .missing_parts = missing});
 }
 
-void RequestRun::EndWithout(TimePoint now, RunStep& step) {
+void RequestRun::EndWithoutSuccess(TimePoint now, RunStep& step) {
   for (Shard& shard : this->shards) {
-    if (!this->options.is_scatter && shard.failure) {
+    if (!this->options.is_scatter && shard.error_answer) {
       this->End(step, {.kind = RunEndKind::kAnswer,
                        .cause = "target_failed",
-                       .answer = std::move(*shard.failure)});
+                       .answer = std::move(*shard.error_answer)});
       return;
     }
   }
-  if (this->unproven == 0) {
+  if (this->may_have_run_count == 0) {
     const bool any_declined = std::ranges::any_of(
         this->shards, [](const Shard& shard) { return shard.was_declined; });
     const bool is_busy =
         any_declined ||
-        std::ranges::any_of(
-            this->shards, [](const Shard& shard) { return shard.is_waiting; });
-    this->End(step, {.kind = RunEndKind::kNotRun,
-                     .cause = is_busy ? "targets_busy" : "no_target",
-                     .retry_after = is_busy ? this->options.retry_when_busy
-                                            : this->options.retry_when_down});
+        std::ranges::any_of(this->shards, [](const Shard& shard) {
+          return shard.waits_for_target;
+        });
+    this->End(step,
+              {.kind = RunEndKind::kNotRun,
+               .cause = is_busy ? "targets_busy" : "no_target",
+               .retry_after = is_busy ? this->options.busy_retry_after
+                                      : this->options.no_target_retry_after});
     return;
   }
   if (now >= this->options.deadline) {
@@ -81,26 +83,27 @@
 }
 
 // Whether the request is at its end.
-bool RequestRun::Conclude(TimePoint now, RunStep& step) {
-  this->JudgeLate(now);
+bool RequestRun::EndIfDecided(TimePoint now, RunStep& step) {
+  this->ReportLateParts(now);
   const size_t answered = this->answers.size();
-  if (answered + this->open < this->needed) {
-    this->TakeIn(now, step);
+  if (answered + this->pending_count < this->min_answers) {
+    this->ResumeSkippedShards(now, step);
   }
-  if (answered >= this->needed && this->open == 0) {
-    this->EndWithParts(
+  if (answered >= this->min_answers && this->pending_count == 0) {
+    this->EndWithSuccess(
         step, answered == this->shards.size() ? "whole" : "rest_failed");
     return true;
   }
-  if (answered >= this->needed && now >= this->options.target_at) {
-    this->EndWithParts(step, "rest_late");
+  if (answered >= this->min_answers && now >= this->options.latency_target_at) {
+    this->EndWithSuccess(step, "rest_late");
     return true;
   }
-  if (answered + this->open < this->needed || now >= this->options.deadline) {
+  if (answered + this->pending_count < this->min_answers ||
+      now >= this->options.deadline) {
     // What was begun in this very step isn't sent any more.
-    this->unproven -= step.start.size();
-    step.start.clear();
-    this->EndWithout(now, step);
+    this->may_have_run_count -= step.starts.size();
+    step.starts.clear();
+    this->EndWithoutSuccess(now, step);
     return true;
   }
   return false;
@@ -108,19 +111,20 @@
 
 TimePoint RequestRun::NextWake(TimePoint now) const {
   TimePoint wake = this->options.deadline;
-  if (this->options.target_at > now) {
-    wake = std::min(wake, this->options.target_at);
+  if (this->options.latency_target_at > now) {
+    wake = std::min(wake, this->options.latency_target_at);
   }
   for (const Shard& shard : this->shards) {
-    if (shard.state != ShardState::kOpen) {
+    if (shard.state != ShardState::kPending) {
       continue;
     }
-    if (shard.is_waiting) {
-      const bool is_late = now >= this->options.target_at;
-      const Duration pause = is_late ? kLateBusyRetry : kBusyRetry;
-      wake = std::min(wake, std::max(now + pause, shard.wait_until));
+    if (shard.waits_for_target) {
+      const bool is_late = now >= this->options.latency_target_at;
+      const Duration retry_delay =
+          is_late ? kLateBusyRetryDelay : kBusyRetryDelay;
+      wake = std::min(wake, std::max(now + retry_delay, shard.retry_at));
     } else if (this->options.idempotent &&
-               shard.sent < this->options.max_attempts) {
+               shard.attempt_count < this->options.max_attempts) {
       wake = std::min(wake, std::max(now, shard.hedge_at));
     }
   }
@@ -129,15 +133,16 @@
 
 // An answer alone makes no wake earlier, so a scatter over many shards doesn't
 // look at all of them for each one.
-RunStep RequestRun::Finish(RunStep step, TimePoint now) {
-  if (this->Conclude(now, step)) {
-    step.start.clear();
+RunStep RequestRun::FinishStep(RunStep step, TimePoint now) {
+  if (this->EndIfDecided(now, step)) {
+    step.starts.clear();
     return step;
   }
-  if (!this->known_wake || *this->known_wake <= now || !step.start.empty()) {
-    this->known_wake = this->NextWake(now);
+  if (!this->cached_wake_at || *this->cached_wake_at <= now ||
+      !step.starts.empty()) {
+    this->cached_wake_at = this->NextWake(now);
   }
-  step.wake_at = this->known_wake;
+  step.wake_at = this->cached_wake_at;
   return step;
 }
 
--- a/knapweedroad/routing/request_run_test.cc
+++ b/knapweedroad/routing/request_run_test.cc
@@ -16,9 +16,9 @@
 const TimePoint kStart{std::chrono::seconds(1000)};
 
 // Services a, b, c ... of three targets each: a1 a2 a3.
-class World {
+class Fixture {
  public:
-  explicit World(size_t services) {
+  explicit Fixture(size_t services) {
     for (size_t i = 0; i < services; ++i) {
       this->options.services.emplace_back(
           std::string(1, static_cast<char>('a' + i)));
@@ -27,82 +27,83 @@
     this->options.idempotent = true;
     this->options.max_attempts = 2;
     this->options.min_share = 0.6;
-    this->options.target_at = kStart + milliseconds(100);
+    this->options.latency_target_at = kStart + milliseconds(100);
     this->options.deadline = kStart + milliseconds(1000);
-    this->options.hedge_after = milliseconds(20);
-    this->options.retry_when_busy = milliseconds(25);
-    this->options.retry_when_down = milliseconds(400);
-    this->hooks.pick =
+    this->options.hedge_delay = milliseconds(20);
+    this->options.busy_retry_after = milliseconds(25);
+    this->options.no_target_retry_after = milliseconds(400);
+    this->hooks.pick_target =
         [this](const ServiceId& service,
                std::span<const TargetId> tried) -> std::optional<TargetId> {
       for (int i = 1; i <= 3; ++i) {
         const TargetId target(service.str() + std::to_string(i));
-        const bool is_used = std::ranges::find(tried, target) != tried.end();
-        if (!is_used && !this->down.contains(service.str())) {
+        const bool is_tried = std::ranges::find(tried, target) != tried.end();
+        if (!is_tried && !this->down.contains(service.str())) {
           return target;
         }
       }
       return std::nullopt;
     };
-    this->hooks.is_served = [this](const ServiceId& service,
-                                   std::span<const TargetId> tried) {
+    this->hooks.has_untried_target = [this](const ServiceId& service,
+                                            std::span<const TargetId> tried) {
       return !this->down.contains(service.str()) && tried.size() < 3;
     };
-    this->hooks.spend_extra = [this](const ServiceId&, bool) {
-      return this->budget-- > 0;
+    this->hooks.spend_extra_attempt = [this](const ServiceId&, bool) {
+      return this->extra_budget-- > 0;
     };
   }
 
-  RequestRun Make() { return {this->options, this->hooks}; }
+  RequestRun MakeRun() { return {this->options, this->hooks}; }
 
   RequestRunOptions options;
   RunHooks hooks;
   std::map<std::string, bool> down;
-  int budget = 100;
+  int extra_budget = 100;
 };
 
-TargetAnswer Good(const char* seal) {
+TargetAnswer OkAnswer(const char* seal) {
   return {.status = 200, .seal = seal, .body = "x"};
 }
 
 Test(request_run, a_scatter_ends_with_its_last_part) {
-  World world(3);
-  RequestRun run = world.Make();
-  cr_assert(run.Start(kStart).start.size() == 3);
-  cr_expect(!run.OnAnswer(0, Good("1"), kStart).end);
-  cr_expect(!run.OnAnswer(1, Good("2"), kStart).end);
-  const RunStep last = run.OnAnswer(2, Good("3"), kStart + milliseconds(9));
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
+  cr_assert(run.Start(kStart).starts.size() == 3);
+  cr_expect(!run.OnAnswer(0, OkAnswer("1"), kStart).end);
+  cr_expect(!run.OnAnswer(1, OkAnswer("2"), kStart).end);
+  const RunStep last = run.OnAnswer(2, OkAnswer("3"), kStart + milliseconds(9));
   cr_assert(last.end && last.end->kind == RunEndKind::kParts);
-  cr_expect(last.end->parts.size() == 3 && last.end->missing == 0);
+  cr_expect(last.end->parts.size() == 3 && last.end->missing_parts == 0);
 }
 
 // A target pauses for a tenth of a second, as each does now and then. Without
 // a second attempt every third caller of a scatter over ten waits for it.
 Test(request_run, a_part_that_is_late_is_asked_of_another_target) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart + milliseconds(9));
-  const RunStep waiting = run.OnAnswer(1, Good("2"), kStart + milliseconds(9));
+  run.OnAnswer(0, OkAnswer("1"), kStart + milliseconds(9));
+  const RunStep waiting =
+      run.OnAnswer(1, OkAnswer("2"), kStart + milliseconds(9));
   cr_expect(waiting.wake_at == kStart + milliseconds(20));
   const RunStep hedge = run.OnWake(kStart + milliseconds(20));
-  cr_assert(hedge.start.size() == 1);
-  cr_expect(hedge.start[0].target == TargetId("c2"));
-  const RunStep end = run.OnAnswer(3, Good("3"), kStart + milliseconds(31));
-  cr_expect(end.end && end.end->missing == 0);
-  cr_expect(run.extra_attempts() == 1);
+  cr_assert(hedge.starts.size() == 1);
+  cr_expect(hedge.starts[0].target == TargetId("c2"));
+  const RunStep end = run.OnAnswer(3, OkAnswer("3"), kStart + milliseconds(31));
+  cr_expect(end.end && end.end->missing_parts == 0);
+  cr_expect(run.extra_attempt_count() == 1);
 }
 
 // The same answer must not count twice where both attempts are answered.
 Test(request_run, one_part_of_a_service_only) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart);
+  run.OnAnswer(0, OkAnswer("1"), kStart);
   run.OnWake(kStart + milliseconds(20));
-  run.OnAnswer(1, Good("2"), kStart + milliseconds(25));
-  run.OnAnswer(3, Good("2b"), kStart + milliseconds(26));
-  const RunStep end = run.OnAnswer(2, Good("3"), kStart + milliseconds(27));
+  run.OnAnswer(1, OkAnswer("2"), kStart + milliseconds(25));
+  run.OnAnswer(3, OkAnswer("2b"), kStart + milliseconds(26));
+  const RunStep end = run.OnAnswer(2, OkAnswer("3"), kStart + milliseconds(27));
   cr_assert(end.end);
   cr_expect(end.end->parts.size() == 3);
 }
@@ -110,85 +111,90 @@
 // Editors wait on the slowest shard although what they may be given is there:
 // at the latency target the answer goes out with its true count of parts.
 Test(request_run, at_the_latency_target_the_least_share_is_enough) {
-  World world(3);
-  world.budget = 0;
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.extra_budget = 0;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart + milliseconds(9));
-  run.OnAnswer(1, Good("2"), kStart + milliseconds(9));
+  run.OnAnswer(0, OkAnswer("1"), kStart + milliseconds(9));
+  run.OnAnswer(1, OkAnswer("2"), kStart + milliseconds(9));
   cr_expect(!run.OnWake(kStart + milliseconds(99)).end);
   const RunStep end = run.OnWake(kStart + milliseconds(100));
   cr_assert(end.end && end.end->kind == RunEndKind::kParts);
-  cr_expect(end.end->missing == 1);
+  cr_expect(end.end->missing_parts == 1);
 }
 
 // After a loss of power all targets of a shard turn this host's connections
 // away. Nothing was sent, so another may be tried at no cost; once each has
 // been, the answer goes out without the shard instead of waiting for it.
 Test(request_run, a_shard_that_turns_every_connection_away_is_not_waited_for) {
-  World world(3);
-  world.budget = 0;
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.extra_budget = 0;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart);
-  run.OnAnswer(1, Good("2"), kStart);
-  const RunStep second = run.OnEnd(2, AttemptEnd::kNeverSent, kStart);
-  cr_assert(second.start.size() == 1);
-  const RunStep third = run.OnEnd(3, AttemptEnd::kNeverSent, kStart);
-  cr_assert(third.start.size() == 1);
-  const RunStep end = run.OnEnd(4, AttemptEnd::kNeverSent, kStart);
+  run.OnAnswer(0, OkAnswer("1"), kStart);
+  run.OnAnswer(1, OkAnswer("2"), kStart);
+  const RunStep second =
+      run.OnAttemptFailed(2, AttemptFailure::kNotSent, kStart);
+  cr_assert(second.starts.size() == 1);
+  const RunStep third =
+      run.OnAttemptFailed(3, AttemptFailure::kNotSent, kStart);
+  cr_assert(third.starts.size() == 1);
+  const RunStep end = run.OnAttemptFailed(4, AttemptFailure::kNotSent, kStart);
   cr_assert(end.end && end.end->kind == RunEndKind::kParts);
-  cr_expect(end.end->missing == 1);
+  cr_expect(end.end->missing_parts == 1);
 }
 
 // All searchers of two shards of three are down. The answer can't become a
 // success: callers hear so at once, nothing is sent, and "not run" is true.
 Test(request_run, what_cannot_succeed_is_refused_before_anything_is_sent) {
-  World world(3);
-  world.down = {{"a", true}, {"b", true}};
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.down = {{"a", true}, {"b", true}};
+  RequestRun run = fixture.MakeRun();
   const RunStep step = run.Start(kStart);
-  cr_expect(step.start.empty());
+  cr_expect(step.starts.empty());
   cr_assert(step.end && step.end->kind == RunEndKind::kNotRun);
   cr_expect(step.end->retry_after == milliseconds(400));
 }
 
 // One shard is down for good: it must not hold the others' answer up.
 Test(request_run, a_service_without_targets_is_not_waited_for) {
-  World world(3);
-  world.down = {{"b", true}};
-  RequestRun run = world.Make();
-  cr_expect(run.Start(kStart).start.size() == 2);
-  run.OnAnswer(0, Good("1"), kStart + milliseconds(5));
-  const RunStep end = run.OnAnswer(1, Good("3"), kStart + milliseconds(6));
+  Fixture fixture(3);
+  fixture.down = {{"b", true}};
+  RequestRun run = fixture.MakeRun();
+  cr_expect(run.Start(kStart).starts.size() == 2);
+  run.OnAnswer(0, OkAnswer("1"), kStart + milliseconds(5));
+  const RunStep end = run.OnAnswer(1, OkAnswer("3"), kStart + milliseconds(6));
   cr_assert(end.end && end.end->kind == RunEndKind::kParts);
-  cr_expect(end.end->missing == 1);
+  cr_expect(end.end->missing_parts == 1);
 }
 
 // A lookup that must not run twice loses its connection after it was sent. It
 // may have run: another attempt could run it again, and a refusal would lie.
 Test(request_run, what_may_have_run_is_not_sent_again_unless_idempotent) {
-  World world(1);
-  world.options.idempotent = false;
-  RequestRun run = world.Make();
-  cr_assert(run.Start(kStart).start.size() == 1);
-  const RunStep end = run.OnEnd(0, AttemptEnd::kBroken, kStart);
-  cr_expect(end.start.empty());
+  Fixture fixture(1);
+  fixture.options.idempotent = false;
+  RequestRun run = fixture.MakeRun();
+  cr_assert(run.Start(kStart).starts.size() == 1);
+  const RunStep end =
+      run.OnAttemptFailed(0, AttemptFailure::kMayHaveRun, kStart);
+  cr_expect(end.starts.empty());
   cr_assert(end.end && end.end->kind == RunEndKind::kFailed);
 }
 
 // The same lookup meets a full target, then one that can't be reached: both
 // prove that it has not run, so it goes on, and a refusal is true.
 Test(request_run, after_proof_of_not_run_a_lookup_goes_to_another_target) {
-  World world(1);
-  world.options.idempotent = false;
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.options.idempotent = false;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  const RunStep second = run.OnEnd(0, AttemptEnd::kDeclined, kStart);
-  cr_assert(second.start.size() == 1);
-  const RunStep third = run.OnEnd(1, AttemptEnd::kNeverSent, kStart);
-  cr_assert(third.start.size() == 1);
-  const RunStep end = run.OnEnd(2, AttemptEnd::kDeclined, kStart);
+  const RunStep second =
+      run.OnAttemptFailed(0, AttemptFailure::kDeclined, kStart);
+  cr_assert(second.starts.size() == 1);
+  const RunStep third =
+      run.OnAttemptFailed(1, AttemptFailure::kNotSent, kStart);
+  cr_assert(third.starts.size() == 1);
+  const RunStep end = run.OnAttemptFailed(2, AttemptFailure::kDeclined, kStart);
   cr_assert(end.end && end.end->kind == RunEndKind::kNotRun);
   cr_expect(end.end->retry_after == milliseconds(25));
 }
@@ -196,31 +202,32 @@
 // A read is sent twice; the second target declines, the first is still out
 // when it breaks. It may have run, so the end promises nothing.
 Test(request_run, a_read_that_may_have_run_never_ends_as_not_run) {
-  World world(1);
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_assert(run.OnWake(kStart + milliseconds(20)).start.size() == 1);
-  run.OnEnd(1, AttemptEnd::kDeclined, kStart + milliseconds(21));
-  const RunStep end =
-      run.OnEnd(0, AttemptEnd::kBroken, kStart + milliseconds(22));
+  cr_assert(run.OnWake(kStart + milliseconds(20)).starts.size() == 1);
+  run.OnAttemptFailed(1, AttemptFailure::kDeclined, kStart + milliseconds(21));
+  const RunStep end = run.OnAttemptFailed(0, AttemptFailure::kMayHaveRun,
+                                          kStart + milliseconds(22));
   cr_assert(end.end);
   cr_expect(end.end->kind == RunEndKind::kFailed);
 }
 
 Test(request_run, a_targets_own_failure_is_passed_on_when_no_other_answers) {
-  World world(1);
-  world.options.max_attempts = 1;
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.options.max_attempts = 1;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  const RunStep end = run.OnFailure(0, {.status = 500, .seal = "1"}, kStart);
+  const RunStep end =
+      run.OnErrorAnswer(0, {.status = 500, .seal = "1"}, kStart);
   cr_assert(end.end && end.end->kind == RunEndKind::kAnswer);
   cr_expect(end.end->answer.status == 500);
 }
 
 Test(request_run, without_an_answer_the_deadline_ends_it) {
-  World world(1);
-  world.budget = 0;
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.extra_budget = 0;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   cr_expect(!run.OnWake(kStart + milliseconds(999)).end);
   const RunStep end = run.OnWake(kStart + milliseconds(1000));
@@ -229,48 +236,51 @@
 
 // A storm of failures must not become a storm of attempts.
 Test(request_run, without_budget_no_second_attempt_is_sent) {
-  World world(3);
-  world.budget = 0;
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.extra_budget = 0;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_expect(run.OnEnd(0, AttemptEnd::kBroken, kStart).start.empty());
-  cr_expect(run.OnWake(kStart + milliseconds(20)).start.empty());
-  cr_expect(run.extra_attempts() == 0);
+  cr_expect(run.OnAttemptFailed(0, AttemptFailure::kMayHaveRun, kStart)
+                .starts.empty());
+  cr_expect(run.OnWake(kStart + milliseconds(20)).starts.empty());
+  cr_expect(run.extra_attempt_count() == 0);
 }
 
 // A shard is short of room. The caller's answer goes without its part as soon
 // as the others are in, instead of waiting for it until it is due.
 Test(request_run, an_answer_leaves_without_the_shard_that_was_left_out) {
-  World world(3);
-  world.hooks.leave_out = [](size_t most) {
-    cr_expect(most == 1);
+  Fixture fixture(3);
+  fixture.hooks.choose_shards_to_skip = [](size_t max_shards) {
+    cr_expect(max_shards == 1);
     return std::vector<size_t>{1};
   };
-  RequestRun run = world.Make();
+  RequestRun run = fixture.MakeRun();
   const RunStep begun = run.Start(kStart);
-  cr_assert(begun.start.size() == 2);
+  cr_assert(begun.starts.size() == 2);
   run.OnAnswer(0, {.status = 200}, kStart + milliseconds(5));
   const RunStep step =
       run.OnAnswer(1, {.status = 200}, kStart + milliseconds(9));
   cr_assert(step.end.has_value());
   cr_expect(step.end->kind == RunEndKind::kParts);
-  cr_expect(step.end->missing == 1);
+  cr_expect(step.end->missing_parts == 1);
 }
 
 // Another shard fails altogether. The one that was left out is needed now, and
 // the caller gets an answer instead of a failure.
 Test(request_run, a_shard_left_out_is_asked_once_it_is_needed) {
-  World world(3);
-  world.hooks.leave_out = [](size_t) { return std::vector<size_t>{1}; };
-  world.options.max_attempts = 1;
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.hooks.choose_shards_to_skip = [](size_t) {
+    return std::vector<size_t>{1};
+  };
+  fixture.options.max_attempts = 1;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   run.OnAnswer(0, {.status = 200}, kStart + milliseconds(5));
-  const RunStep step =
-      run.OnEnd(1, AttemptEnd::kBroken, kStart + milliseconds(9));
+  const RunStep step = run.OnAttemptFailed(1, AttemptFailure::kMayHaveRun,
+                                           kStart + milliseconds(9));
   cr_assert(!step.end.has_value());
-  cr_assert(step.start.size() == 1);
-  cr_expect(step.start[0].service == 1);
+  cr_assert(step.starts.size() == 1);
+  cr_expect(step.starts[0].service_index == 1);
   const RunStep end =
       run.OnAnswer(2, {.status = 200}, kStart + milliseconds(20));
   cr_assert(end.end.has_value());
@@ -280,65 +290,67 @@
 // Each shard is judged once: in time, late at the moment it was due, or not at
 // all where it was left out.
 Test(request_run, it_tells_which_parts_were_in_when_they_were_due) {
-  World world(3);
-  std::map<std::string, bool> told;
-  world.hooks.on_part = [&](const ServiceId& service, bool in_time) {
-    cr_expect(!told.contains(service.str()));
-    told[service.str()] = in_time;
+  Fixture fixture(3);
+  std::map<std::string, bool> reported;
+  fixture.hooks.on_part = [&](const ServiceId& service, bool in_time) {
+    cr_expect(!reported.contains(service.str()));
+    reported[service.str()] = in_time;
   };
-  RequestRun run = world.Make();
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   run.OnAnswer(0, {.status = 200}, kStart + milliseconds(5));
   run.OnAnswer(2, {.status = 200}, kStart + milliseconds(6));
   run.OnWake(kStart + milliseconds(100));
   const std::map<std::string, bool> expected{
       {"a", true}, {"b", false}, {"c", true}};
-  cr_expect(told == expected);
+  cr_expect(reported == expected);
 }
 
 // All hosts have lost their power, and the targets of two of three shards still
 // hold the connections of before. The caller got a failure within milliseconds;
 // a place comes free soon after, and the answer has all that it needs.
 Test(request_run, a_shard_it_needs_is_tried_again_after_it_turned_all_away) {
-  World world(3);
-  world.options.max_attempts = 1;
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  fixture.options.max_attempts = 1;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart);
+  run.OnAnswer(0, OkAnswer("1"), kStart);
   // Attempts 1 and 2 are the first on b and c; each shard has three targets.
   for (uint32_t attempt = 1; attempt < 6; ++attempt) {
-    cr_assert(!run.OnEnd(attempt, AttemptEnd::kNeverSent, kStart).end);
+    cr_assert(
+        !run.OnAttemptFailed(attempt, AttemptFailure::kNotSent, kStart).end);
   }
-  const RunStep last = run.OnEnd(6, AttemptEnd::kNeverSent, kStart);
+  const RunStep last = run.OnAttemptFailed(6, AttemptFailure::kNotSent, kStart);
   cr_assert(!last.end.has_value());
   cr_assert(last.wake_at.has_value());
   const TimePoint again = kStart + milliseconds(12);
   const RunStep retried = run.OnWake(again);
-  cr_expect(!retried.start.empty());
+  cr_expect(!retried.starts.empty());
   cr_assert(!retried.end.has_value());
-  run.OnAnswer(retried.start[0].attempt, Good("2"), again);
+  run.OnAnswer(retried.starts[0].attempt, OkAnswer("2"), again);
   // The third shard's answer doesn't come; this one leaves when it is due.
   const RunStep end = run.OnWake(kStart + milliseconds(100));
   cr_assert(end.end.has_value());
   cr_expect(end.end->kind == RunEndKind::kParts);
-  cr_expect(end.end->missing == 1);
+  cr_expect(end.end->missing_parts == 1);
 }
 
 // All targets of a lookup are full of connections for seconds. Its caller hears
 // within half a second that it has not run, and isn't held to the deadline.
 Test(request_run, a_lookup_that_is_connection_rejected_for_long_is_refused) {
-  World world(1);
-  world.options.idempotent = false;
-  world.options.deadline = kStart + milliseconds(8000);
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.options.idempotent = false;
+  fixture.options.deadline = kStart + milliseconds(8000);
+  RequestRun run = fixture.MakeRun();
   RunStep step = run.Start(kStart);
   TimePoint now = kStart;
   while (!step.end && now < kStart + milliseconds(2000)) {
-    if (step.start.empty()) {
+    if (step.starts.empty()) {
       now = std::max(*step.wake_at, now + milliseconds(1));
       step = run.OnWake(now);
     } else {
-      step = run.OnEnd(step.start[0].attempt, AttemptEnd::kNeverSent, now);
+      step = run.OnAttemptFailed(step.starts[0].attempt,
+                                 AttemptFailure::kNotSent, now);
     }
   }
   cr_assert(step.end.has_value());
@@ -349,22 +361,23 @@
 // Guards against hundreds of hosts that ask targets at their cap for a
 // connection a hundred times a second each, so that nobody gets a place.
 Test(request_run, targets_at_their_cap_are_asked_more_and_more_seldom) {
-  World world(1);
-  world.options.deadline = kStart + milliseconds(8000);
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.options.deadline = kStart + milliseconds(8000);
+  RequestRun run = fixture.MakeRun();
   RunStep step = run.Start(kStart);
   TimePoint now = kStart;
   while (!step.end) {
-    if (step.start.empty()) {
+    if (step.starts.empty()) {
       now = std::max(*step.wake_at, now + milliseconds(1));
       step = run.OnWake(now);
     } else {
-      step = run.OnEnd(step.start[0].attempt, AttemptEnd::kNeverSent, now);
+      step = run.OnAttemptFailed(step.starts[0].attempt,
+                                 AttemptFailure::kNotSent, now);
     }
   }
   constexpr size_t kTargets = 3;
-  constexpr size_t kMostTries = 8;
-  cr_expect(run.attempts() <= kTargets * kMostTries);
+  constexpr size_t kMaxPicks = 8;
+  cr_expect(run.attempt_count() <= kTargets * kMaxPicks);
 }
 
 std::vector<MergedAnswer> Merged(std::initializer_list<uint32_t> attempts) {
@@ -377,12 +390,12 @@
 }
 
 Test(request_run, merged_answers_are_in_together) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_expect(!run.OnAnswer(1, Good("1"), kStart).end);
+  cr_expect(!run.OnAnswer(1, OkAnswer("1"), kStart).end);
   const RunStep end =
-      run.OnMerged(Merged({0, 2}), {.records = "records"}, kStart);
+      run.OnMergedAnswers(Merged({0, 2}), {.records = "records"}, kStart);
   cr_assert(end.end && end.end->parts.size() == 3);
   std::string bodies;
   for (const TargetAnswer& part : end.end->parts) {
@@ -394,14 +407,14 @@
 // Guards against a part that counts twice: its hedge was answered first, and
 // its records are among merged ones that can't be taken apart.
 Test(request_run, a_single_answer_gives_way_to_merged_ones_of_its_shard) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_assert(run.OnWake(kStart + milliseconds(20)).start.size() == 3);
-  run.OnAnswer(3, Good("hedge"), kStart + milliseconds(25));
-  run.OnMerged(Merged({0, 1}), {.records = "records"},
-               kStart + milliseconds(26));
-  const RunStep end = run.OnAnswer(2, Good("3"), kStart + milliseconds(27));
+  cr_assert(run.OnWake(kStart + milliseconds(20)).starts.size() == 3);
+  run.OnAnswer(3, OkAnswer("hedge"), kStart + milliseconds(25));
+  run.OnMergedAnswers(Merged({0, 1}), {.records = "records"},
+                      kStart + milliseconds(26));
+  const RunStep end = run.OnAnswer(2, OkAnswer("3"), kStart + milliseconds(27));
   cr_assert(end.end);
   std::vector<std::string> seals;
   std::string bodies;
@@ -417,14 +430,15 @@
 // Guards against records that are lost with one of several merged answers: a
 // hedge of its shard comes in after them.
 Test(request_run, a_second_answer_does_not_replace_a_merged_one) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_assert(run.OnWake(kStart + milliseconds(20)).start.size() == 3);
-  run.OnMerged(Merged({0, 1}), {.records = "records"},
-               kStart + milliseconds(25));
-  run.OnMerged(Merged({3}), {.records = "hedge"}, kStart + milliseconds(26));
-  const RunStep end = run.OnAnswer(2, Good("3"), kStart + milliseconds(27));
+  cr_assert(run.OnWake(kStart + milliseconds(20)).starts.size() == 3);
+  run.OnMergedAnswers(Merged({0, 1}), {.records = "records"},
+                      kStart + milliseconds(25));
+  run.OnMergedAnswers(Merged({3}), {.records = "hedge"},
+                      kStart + milliseconds(26));
+  const RunStep end = run.OnAnswer(2, OkAnswer("3"), kStart + milliseconds(27));
   cr_assert(end.end && end.end->parts.size() == 3);
   std::string bodies;
   for (const TargetAnswer& part : end.end->parts) {
@@ -436,70 +450,70 @@
 // The same of two groups that share a shard: the later one isn't taken, and
 // what only it has is asked for as after a failure.
 Test(request_run, groups_that_share_a_shard_are_not_mixed) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  cr_assert(run.OnWake(kStart + milliseconds(20)).start.size() == 3);
-  run.OnMerged(Merged({0, 1}), {.records = "records"},
-               kStart + milliseconds(25));
-  run.OnMerged(Merged({4, 5}), {.records = "others"},
-               kStart + milliseconds(26));
-  const RunStep end = run.OnAnswer(2, Good("3"), kStart + milliseconds(27));
+  cr_assert(run.OnWake(kStart + milliseconds(20)).starts.size() == 3);
+  run.OnMergedAnswers(Merged({0, 1}), {.records = "records"},
+                      kStart + milliseconds(25));
+  run.OnMergedAnswers(Merged({4, 5}), {.records = "others"},
+                      kStart + milliseconds(26));
+  const RunStep end = run.OnAnswer(2, OkAnswer("3"), kStart + milliseconds(27));
   cr_assert(end.end && end.end->parts.size() == 3);
-  cr_expect(end.end->missing == 0);
+  cr_expect(end.end->missing_parts == 0);
 }
 
 Test(request_run, merged_answers_after_the_end_change_nothing) {
-  World world(2);
-  RequestRun run = world.Make();
+  Fixture fixture(2);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
-  run.OnAnswer(0, Good("1"), kStart);
-  cr_assert(run.OnAnswer(1, Good("2"), kStart).end.has_value());
+  run.OnAnswer(0, OkAnswer("1"), kStart);
+  cr_assert(run.OnAnswer(1, OkAnswer("2"), kStart).end.has_value());
   const RunStep late =
-      run.OnMerged(Merged({0}), {.records = "records"}, kStart);
-  cr_expect(!late.end && late.start.empty());
+      run.OnMergedAnswers(Merged({0}), {.records = "records"}, kStart);
+  cr_expect(!late.end && late.starts.empty());
 }
 
 // Guards against a request that waits until its deadline for one silent target
 // because the bound on extra attempts was used up when its hedge was due.
 Test(request_run, a_hedge_that_the_bound_refused_is_tried_again) {
-  World world(1);
-  world.budget = 0;
-  RequestRun run = world.Make();
+  Fixture fixture(1);
+  fixture.extra_budget = 0;
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   const RunStep refused = run.OnWake(kStart + milliseconds(20));
-  cr_expect(refused.start.empty());
+  cr_expect(refused.starts.empty());
   cr_assert(refused.wake_at.has_value());
   cr_expect(*refused.wake_at <= kStart + milliseconds(60));
-  world.budget = 1;
-  cr_expect(run.OnWake(*refused.wake_at).start.size() == 1);
+  fixture.extra_budget = 1;
+  cr_expect(run.OnWake(*refused.wake_at).starts.size() == 1);
 }
 
 Test(request_run, an_answer_that_is_late_may_spend_what_retries_may) {
-  World world(1);
+  Fixture fixture(1);
   std::vector<bool> asked;
-  world.hooks.spend_extra = [&](const ServiceId&, bool is_hedge) {
+  fixture.hooks.spend_extra_attempt = [&](const ServiceId&, bool is_hedge) {
     asked.push_back(is_hedge);
     return false;
   };
-  RequestRun run = world.Make();
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   run.OnWake(kStart + milliseconds(20));
   run.OnWake(kStart + milliseconds(150));
-  const std::vector<bool> wanted = {true, false};
-  cr_expect(asked == wanted);
+  const std::vector<bool> expected = {true, false};
+  cr_expect(asked == expected);
 }
 
 // Guards against hedges for each part that another host gathers, sent while
 // the parts are on their way.
 Test(request_run, an_attempt_on_a_longer_way_is_hedged_later) {
-  World world(3);
-  RequestRun run = world.Make();
+  Fixture fixture(3);
+  RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   run.DelayHedge(0, milliseconds(10));
   const RunStep first = run.OnWake(kStart + milliseconds(20));
-  cr_expect(first.start.size() == 2);
-  cr_expect(run.OnWake(kStart + milliseconds(31)).start.size() == 1);
+  cr_expect(first.starts.size() == 2);
+  cr_expect(run.OnWake(kStart + milliseconds(31)).starts.size() == 1);
 }
 
 }  // namespace
--- a/knapweedroad/routing/retry_budget.cc
+++ b/knapweedroad/routing/retry_budget.cc
@@ -8,97 +8,98 @@
 
 // This host's part is taken a little short: hosts hear of each other late, and
 // an attempt arrives later than it is counted here.
-constexpr double kRatioMargin = 0.93;
-constexpr double kSlackMargin = 0.9;
+constexpr double kRatioFactor = 0.93;
+constexpr double kSlackFactor = 0.9;
 // Parts of the slack: one for each of two starts within a window, and the rest.
-constexpr double kSlackAfterStart = 0.1;
-constexpr double kSlackLater = 1 - 2 * kSlackAfterStart;
+constexpr double kStartSlackShare = 0.1;
+constexpr double kSteadySlackShare = 1 - 2 * kStartSlackShare;
 // What hedges leave to retries, as shares of the allowance: for the first
 // failures of an outlier, and however many there are.
-constexpr double kLeastReserve = 0.1;
-constexpr double kMostReserve = 0.5;
+constexpr double kMinRetryReserve = 0.1;
+constexpr double kMaxRetryReserve = 0.5;
 // The sum of all hosts' roundings may pass its mean: so many of its standard
 // deviations are kept free. That of one host is a half at the most.
-constexpr double kDeviationsKept = 3;
-constexpr double kDeviationOfOne = 0.5;
+constexpr double kReservedDeviations = 3;
+constexpr double kMaxRoundingDeviation = 0.5;
 
 }  // namespace
 
 RetryBudget::RetryBudget(RetryBudgetLimits limits,
-                         TimePoint started,
-                         double rounding)
+                         TimePoint started_at,
+                         double rounding_threshold)
     : limits(limits),
-      rounding(rounding),
-      slack_from(started.time_since_epoch() / this->SliceLength() +
-                 int64_t{kSlices}) {}
+      rounding_threshold(rounding_threshold),
+      steady_from_slice(started_at.time_since_epoch() / this->SliceLength() +
+                        int64_t{kSliceCount}) {}
 
 Duration RetryBudget::SliceLength() const {
-  return this->limits.window / (kSlices - 1);
+  return this->limits.window / (kSliceCount - 1);
 }
 
 void RetryBudget::Advance(TimePoint now) {
   const Duration slice = this->SliceLength();
   const int64_t current = now.time_since_epoch() / slice;
-  const int64_t steps =
-      std::min<int64_t>(current - this->newest, int64_t{kSlices});
-  for (int64_t i = 0; i < steps; ++i) {
-    Slice& oldest = this->slices[(this->newest + 1 + i) % kSlices];
+  const int64_t elapsed_slices =
+      std::min<int64_t>(current - this->newest_slice, int64_t{kSliceCount});
+  for (int64_t i = 0; i < elapsed_slices; ++i) {
+    Slice& oldest = this->slices[(this->newest_slice + 1 + i) % kSliceCount];
     this->requests -= oldest.requests;
     this->retries -= oldest.retries;
     this->hedges -= oldest.hedges;
     oldest = {};
   }
-  this->newest = std::max(this->newest, current);
+  this->newest_slice = std::max(this->newest_slice, current);
 }
 
 // A host that restarts has forgotten what it spent. It has one part of the
 // slack for the first window after a start and another for later, so that two
 // starts within a window keep to the bound, and hosts that all start at once
 // can still retry.
-double RetryBudget::Allowance(size_t hosts) const {
-  const bool has_just_started = this->newest < this->slack_from;
-  const double slack = this->limits.slack * kSlackMargin *
-                       (has_just_started ? kSlackAfterStart : kSlackLater);
-  return this->requests * this->limits.ratio * kRatioMargin +
-         slack / static_cast<double>(std::max<size_t>(hosts, 1));
+double RetryBudget::Allowance(size_t host_count) const {
+  const bool is_starting = this->newest_slice < this->steady_from_slice;
+  const double slack = this->limits.slack * kSlackFactor *
+                       (is_starting ? kStartSlackShare : kSteadySlackShare);
+  return this->requests * this->limits.ratio * kRatioFactor +
+         slack / static_cast<double>(std::max<size_t>(host_count, 1));
 }
 
 void RetryBudget::OnRequest(TimePoint now) {
   this->Advance(now);
-  ++this->slices[this->newest % kSlices].requests;
+  ++this->slices[this->newest_slice % kSliceCount].requests;
   ++this->requests;
 }
 
-bool RetryBudget::IsWithin(double part, size_t hosts) const {
-  const double used = this->extra();
-  if (used + 1 <= part) {
+bool RetryBudget::FitsOneMore(double allowance, size_t host_count) const {
+  const double used = this->extra_attempts();
+  if (used + 1 <= allowance) {
     return true;
   }
-  const double kept =
-      kDeviationsKept * kDeviationOfOne /
-      std::sqrt(static_cast<double>(std::max<size_t>(hosts, 1)));
-  return used + this->rounding <= part - kept;
+  const double rounding_reserve =
+      kReservedDeviations * kMaxRoundingDeviation /
+      std::sqrt(static_cast<double>(std::max<size_t>(host_count, 1)));
+  return used + this->rounding_threshold <= allowance - rounding_reserve;
 }
 
-bool RetryBudget::SpendRetry(size_t hosts, TimePoint now) {
+bool RetryBudget::SpendRetry(size_t host_count, TimePoint now) {
   this->Advance(now);
-  if (!this->IsWithin(this->Allowance(hosts), hosts)) {
+  if (!this->FitsOneMore(this->Allowance(host_count), host_count)) {
     return false;
   }
-  ++this->slices[this->newest % kSlices].retries;
+  ++this->slices[this->newest_slice % kSliceCount].retries;
   ++this->retries;
   return true;
 }
 
-bool RetryBudget::SpendHedge(size_t hosts, TimePoint now) {
+bool RetryBudget::SpendHedge(size_t host_count, TimePoint now) {
   this->Advance(now);
-  const double allowance = this->Allowance(hosts);
-  const double reserved = std::clamp<double>(
-      this->retries, allowance * kLeastReserve, allowance * kMostReserve);
-  if (!this->IsWithin(allowance - reserved, hosts)) {
+  const double allowance = this->Allowance(host_count);
+  const double retry_reserve =
+      std::clamp<double>(this->retries, allowance * kMinRetryReserve,
+                         allowance * kMaxRetryReserve);
+  if (!this->FitsOneMore(allowance - retry_reserve, host_count)) {
     return false;
   }
-  ++this->slices[this->newest % kSlices].hedges;
+  ++this->slices[this->newest_slice % kSliceCount].hedges;
   ++this->hedges;
   return true;
 }
--- a/knapweedroad/routing/retry_budget.h
+++ b/knapweedroad/routing/retry_budget.h
@@ -37,24 +37,26 @@
  public:
   // `started`: when this host began to send. `rounding`: from 0 to 1, evenly
   // spread over hosts and services.
-  RetryBudget(RetryBudgetLimits limits, TimePoint started, double rounding);
+  RetryBudget(RetryBudgetLimits limits,
+              TimePoint started_at,
+              double rounding_threshold);
 
   void OnRequest(TimePoint now);
 
   // True: one more attempt may be sent in place of a failed one, and is
   // counted. `hosts` share the slack.
-  bool SpendRetry(size_t hosts, TimePoint now);
+  bool SpendRetry(size_t host_count, TimePoint now);
 
   // True: one more attempt may be sent beside one that is late. Leaves as much
   // as retries have used up lately, half of all at the most.
   //
   // A hedge's first attempt may still be answered, a failed one is lost without
   // a retry: hedges leave a part of the budget to retries.
-  bool SpendHedge(size_t hosts, TimePoint now);
+  bool SpendHedge(size_t host_count, TimePoint now);
 
  private:
   // A window's slices, and one for the part of the oldest that is still in.
-  static constexpr size_t kSlices = 11;
+  static constexpr size_t kSliceCount = 11;
 
   struct Slice {
     uint32_t requests = 0;
@@ -64,19 +66,19 @@
 
   Duration SliceLength() const;
   void Advance(TimePoint now);
-  double Allowance(size_t hosts) const;
+  double Allowance(size_t host_count) const;
   // Whether one more is within the host's `part`, rounded.
-  bool IsWithin(double part, size_t hosts) const;
-  uint32_t extra() const { return this->retries + this->hedges; }
+  bool FitsOneMore(double allowance, size_t host_count) const;
+  uint32_t extra_attempts() const { return this->retries + this->hedges; }
 
   RetryBudgetLimits limits;
   // Fractions of a part from this on are rounded up; differs between hosts and
   // services. A host that drew it anew would send more than its part.
-  double rounding = 1;
+  double rounding_threshold = 1;
   // The first slice that is no longer in the first window after the start.
-  int64_t slack_from = 0;
-  std::array<Slice, kSlices> slices{};
-  int64_t newest = 0;
+  int64_t steady_from_slice = 0;
+  std::array<Slice, kSliceCount> slices{};
+  int64_t newest_slice = 0;
   uint32_t requests = 0;
   uint32_t retries = 0;
   uint32_t hedges = 0;
--- a/knapweedroad/routing/retry_budget_test.cc
+++ b/knapweedroad/routing/retry_budget_test.cc
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 // Evenly spread over hosts, in no order.
-double RoundingOf(size_t host) {
+double RoundingThreshold(size_t host) {
   constexpr double kGoldenRatio = 0.6180339887;
   return std::fmod(static_cast<double>(host + 1) * kGoldenRatio, 1);
 }
@@ -29,7 +29,7 @@
       .ratio = 0.2, .slack = 58, .window = seconds(10)};
   std::vector<RetryBudget> hosts;
   for (size_t host = 0; host < kHosts; ++host) {
-    hosts.emplace_back(limits, TimePoint(seconds(50)), RoundingOf(host));
+    hosts.emplace_back(limits, TimePoint(seconds(50)), RoundingThreshold(host));
   }
   std::deque<TimePoint> extra;
   std::deque<TimePoint> requests;
@@ -61,7 +61,7 @@
   const RetryBudgetLimits limits{
       .ratio = 0, .slack = 50.1, .window = seconds(10)};  // 36 for one host
   const auto hedges_after = [&](int retries) {
-    RetryBudget budget(limits, now - seconds(60), /*rounding=*/1);
+    RetryBudget budget(limits, now - seconds(60), /*rounding_threshold=*/1);
     for (int i = 0; i < retries; ++i) {
       cr_assert(budget.SpendRetry(1, now));
     }
@@ -74,7 +74,7 @@
   cr_expect(hedges_after(0) == 32);
   cr_expect(hedges_after(6) == 24);
   cr_expect(hedges_after(18) == 0);
-  RetryBudget budget(limits, now - seconds(60), /*rounding=*/1);
+  RetryBudget budget(limits, now - seconds(60), /*rounding_threshold=*/1);
   while (budget.SpendHedge(1, now)) {
   }
   cr_expect(budget.SpendRetry(1, now));
@@ -87,24 +87,25 @@
   constexpr Duration kStep = milliseconds(5);
   const RetryBudgetLimits limits{
       .ratio = 0, .slack = 428, .window = seconds(10)};
-  for (const size_t count : {1, 9, 200}) {
-    for (const Duration pause :
+  for (const size_t host_count : {1, 9, 200}) {
+    for (const Duration restart_interval :
          {Duration::zero(), Duration(milliseconds(40))}) {
       std::vector<RetryBudget> hosts;
-      for (size_t host = 0; host < count; ++host) {
-        hosts.emplace_back(limits, TimePoint(seconds(50)), RoundingOf(host));
+      for (size_t host = 0; host < host_count; ++host) {
+        hosts.emplace_back(limits, TimePoint(seconds(50)),
+                           RoundingThreshold(host));
       }
       std::deque<TimePoint> extra;
       for (Duration at{}; at < seconds(40); at += kStep) {
         const TimePoint now = TimePoint(seconds(100)) + at;
-        for (size_t host = 0; host < count; ++host) {
-          const Duration since = at - seconds(15) - pause * host;
+        for (size_t host = 0; host < host_count; ++host) {
+          const Duration since = at - seconds(15) - restart_interval * host;
           if (since == Duration::zero() || since == seconds(4)) {
-            hosts[host] = RetryBudget(limits, now, RoundingOf(host));
+            hosts[host] = RetryBudget(limits, now, RoundingThreshold(host));
           }
         }
         for (RetryBudget& host : hosts) {
-          if (host.SpendRetry(count, now)) {
+          if (host.SpendRetry(host_count, now)) {
             extra.push_back(now);
           }
         }
@@ -126,11 +127,11 @@
       .ratio = 0.2, .slack = 0, .window = seconds(10)};
   const TimePoint now{seconds(100)};
   std::minstd_rand random(1);
-  std::uniform_real_distribution<double> rounding(0, 1);
+  std::uniform_real_distribution<double> thresholds(0, 1);
   for (int fleet = 0; fleet < kFleets; ++fleet) {
     size_t extra = 0;
     for (size_t host = 0; host < kHosts; ++host) {
-      RetryBudget budget(limits, now, rounding(random));
+      RetryBudget budget(limits, now, thresholds(random));
       for (size_t request = 0; request < kRequests; ++request) {
         budget.OnRequest(now);
       }
@@ -147,7 +148,7 @@
 Test(retry_budget, a_host_that_has_just_started_may_hedge_a_little) {
   const TimePoint started{seconds(100)};
   RetryBudget budget({.ratio = 0, .slack = 40, .window = seconds(10)}, started,
-                     /*rounding=*/1);
+                     /*rounding_threshold=*/1);
   cr_expect(budget.SpendHedge(1, started + seconds(1)));
 }
 
@@ -161,13 +162,13 @@
   const TimePoint started{seconds(100)};
   std::vector<RetryBudget> hosts;
   for (size_t host = 0; host < kHosts; ++host) {
-    hosts.emplace_back(limits, started, RoundingOf(host));
+    hosts.emplace_back(limits, started, RoundingThreshold(host));
   }
-  constexpr Duration kPause = milliseconds(20);
+  constexpr Duration kRequestInterval = milliseconds(20);
   std::deque<TimePoint> extra;
-  for (Duration at{}; at < seconds(60); at += kPause) {
+  for (Duration at{}; at < seconds(60); at += kRequestInterval) {
     const TimePoint now = started + at;
-    RetryBudget& host = hosts[(at / kPause) % kHosts];
+    RetryBudget& host = hosts[(at / kRequestInterval) % kHosts];
     host.OnRequest(now);
     if (host.SpendHedge(kHosts, now)) {
       extra.push_back(now);
@@ -176,7 +177,7 @@
       extra.pop_front();
     }
     const auto requests =
-        static_cast<double>(std::min(at, limits.window) / kPause + 1);
+        static_cast<double>(std::min(at, limits.window) / kRequestInterval + 1);
     cr_assert(static_cast<double>(extra.size()) <= limits.ratio * requests + 1);
     if (at >= limits.window) {
       cr_assert(static_cast<double>(extra.size()) >=
--- a/knapweedroad/routing/shard_shedding.cc
+++ b/knapweedroad/routing/shard_shedding.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // A smaller share than this is none.
-constexpr double kLeastShare = 0.01;
+constexpr double kMinShare = 0.01;
 // From this share on a shard counts as short of room.
-constexpr double kShortShare = 0.15;
+constexpr double kOverloadedShare = 0.15;
 
 }  // namespace
 
@@ -18,13 +18,13 @@
     : options(options),
       random(static_cast<std::minstd_rand::result_type>(options.seed)) {}
 
-double ShardShedding::ShareOf(const ServiceId& shard, TimePoint now) const {
-  const auto found = this->sheds.find(shard);
-  if (found == this->sheds.end()) {
+double ShardShedding::SkipShareOf(const ServiceId& shard, TimePoint now) const {
+  const auto found = this->shares.find(shard);
+  if (found == this->shares.end()) {
     return 0;
   }
   const double half_lives =
-      static_cast<double>((now - found->second.at).count()) /
+      static_cast<double>((now - found->second.updated_at).count()) /
       static_cast<double>(this->options.half_life.count());
   return found->second.share * std::exp2(-half_lives);
 }
@@ -33,47 +33,49 @@
                            bool in_time,
                            TimePoint now) {
   const double step =
-      in_time ? -this->options.step_down : this->options.step_up;
+      in_time ? -this->options.in_time_decrease : this->options.late_increase;
   const double share =
-      std::min(this->ShareOf(shard, now) + step, this->options.most);
-  if (share < kLeastShare) {
-    this->sheds.erase(shard);
+      std::min(this->SkipShareOf(shard, now) + step, this->options.max_share);
+  if (share < kMinShare) {
+    this->shares.erase(shard);
     return;
   }
-  this->sheds[shard] = {.share = share, .at = now};
+  this->shares[shard] = {.share = share, .updated_at = now};
 }
 
-std::vector<size_t> ShardShedding::Choose(std::span<const ServiceId> shards,
-                                          size_t most,
-                                          TimePoint now) {
+std::vector<size_t> ShardShedding::ChooseShardsToSkip(
+    std::span<const ServiceId> shards,
+    size_t max_shards,
+    TimePoint now) {
   std::vector<size_t> chosen;
-  if (this->sheds.size() <= most) {
+  if (this->shares.size() <= max_shards) {
     return chosen;
   }
-  std::vector<double> shares;
-  shares.reserve(shards.size());
+  std::vector<double> weights;
+  weights.reserve(shards.size());
   for (const ServiceId& shard : shards) {
-    shares.push_back(this->ShareOf(shard, now));
+    weights.push_back(this->SkipShareOf(shard, now));
   }
   std::uniform_real_distribution<double> uniform;
-  const auto short_shards = static_cast<size_t>(std::ranges::count_if(
-      shares, [](double share) { return share >= kShortShare; }));
-  if (short_shards <= most) {
+  const auto overloaded_count = static_cast<size_t>(std::ranges::count_if(
+      weights, [](double weight) { return weight >= kOverloadedShare; }));
+  if (overloaded_count <= max_shards) {
     return chosen;
   }
-  while (chosen.size() < most) {
-    const double all = std::accumulate(shares.begin(), shares.end(), 0.0);
-    double drawn = uniform(this->random) * std::max(all, 1.0);
+  while (chosen.size() < max_shards) {
+    const double total_weight =
+        std::accumulate(weights.begin(), weights.end(), 0.0);
+    double position = uniform(this->random) * std::max(total_weight, 1.0);
     size_t index = 0;
-    while (index < shares.size() && drawn >= shares[index]) {
-      drawn -= shares[index];
+    while (index < weights.size() && position >= weights[index]) {
+      position -= weights[index];
       ++index;
     }
-    if (index == shares.size()) {
+    if (index == weights.size()) {
       break;
     }
     chosen.push_back(index);
-    shares[index] = 0;
+    weights[index] = 0;
   }
   return chosen;
 }
--- a/knapweedroad/routing/shard_shedding.h
+++ b/knapweedroad/routing/shard_shedding.h
@@ -24,11 +24,11 @@
   // What one late part adds to the share of requests that leave its shard out,
   // and what one in time takes off: a shard is left out more while over one
   // part in six is late.
-  double step_up = 0.1;
-  double step_down = 0.02;
+  double late_increase = 0.1;
+  double in_time_decrease = 0.02;
   // The most of a shard's requests that may leave it out: the others show when
   // it has room again.
-  double most = 0.9;
+  double max_share = 0.9;
   // The share halves in this time without news.
   Duration half_life = std::chrono::milliseconds(2500);
   uint64_t seed = 1;
@@ -47,21 +47,21 @@
   // Indices into `shards`, `most` of them at the most; none while no more are
   // short than that: their parts are missing only where they are late. Draws at
   // most one shard a place, so that requests spread over the short ones.
-  std::vector<size_t> Choose(std::span<const ServiceId> shards,
-                             size_t most,
-                             TimePoint now);
+  std::vector<size_t> ChooseShardsToSkip(std::span<const ServiceId> shards,
+                                         size_t max_shards,
+                                         TimePoint now);
 
   // The share of requests that leave it out.
-  double ShareOf(const ServiceId& shard, TimePoint now) const;
+  double SkipShareOf(const ServiceId& shard, TimePoint now) const;
 
  private:
-  struct Shed {
+  struct ShardShare {
     double share = 0;
-    TimePoint at;
+    TimePoint updated_at;
   };
 
   ShardSheddingOptions options;
-  std::unordered_map<ServiceId, Shed> sheds;
+  std::unordered_map<ServiceId, ShardShare> shares;
   std::minstd_rand random;
 };
 
--- a/knapweedroad/routing/shard_shedding_test.cc
+++ b/knapweedroad/routing/shard_shedding_test.cc
@@ -16,39 +16,40 @@
 
 // Requests at 100 a second, each leaving out one shard at the most. `room` says
 // how many of a shard's parts a second are in time, in the order of kShards.
-struct Served {
-  int whole = 0;
-  int short_of_one = 0;
+struct RequestCounts {
+  int complete = 0;
+  int skipped_one = 0;
   int late = 0;
 };
 
-Served Load(ShardShedding& shedding,
-            const std::array<int, 4>& room,
-            Duration length,
-            TimePoint begin) {
+RequestCounts RunLoad(ShardShedding& shedding,
+                      const std::array<int, 4>& capacity,
+                      Duration length,
+                      TimePoint begin) {
   constexpr int kRate = 100;
-  Served served;
-  std::array<double, 4> left{};
+  RequestCounts counts;
+  std::array<double, 4> tokens{};
   for (TimePoint now = begin; now < begin + length;
        now += milliseconds(1000 / kRate)) {
-    const auto left_out = shedding.Choose(kShards, 1, now);
-    cr_assert(left_out.size() <= 1);
+    const auto skipped = shedding.ChooseShardsToSkip(kShards, 1, now);
+    cr_assert(skipped.size() <= 1);
     bool is_late = false;
     for (size_t i = 0; i < kShards.size(); ++i) {
-      left[i] = std::min(left[i] + static_cast<double>(room[i]) / kRate, 2.0);
-      if (!left_out.empty() && left_out.front() == i) {
+      tokens[i] =
+          std::min(tokens[i] + static_cast<double>(capacity[i]) / kRate, 2.0);
+      if (!skipped.empty() && skipped.front() == i) {
         continue;
       }
-      const bool in_time = left[i] >= 1;
-      left[i] -= in_time ? 1 : 0;
+      const bool in_time = tokens[i] >= 1;
+      tokens[i] -= in_time ? 1 : 0;
       is_late |= !in_time;
       shedding.OnPart(kShards[i], in_time, now + milliseconds(100));
     }
-    served.late += is_late ? 1 : 0;
-    served.whole += !is_late && left_out.empty() ? 1 : 0;
-    served.short_of_one += !is_late && !left_out.empty() ? 1 : 0;
+    counts.late += is_late ? 1 : 0;
+    counts.complete += !is_late && skipped.empty() ? 1 : 0;
+    counts.skipped_one += !is_late && !skipped.empty() ? 1 : 0;
   }
-  return served;
+  return counts;
 }
 
 // Two of four shards have lost targets and get through six in ten requests.
@@ -56,39 +57,40 @@
 // least share in time. Left out by turns, most callers are served in time.
 Test(shard_shedding, two_short_shards_are_left_out_by_turns) {
   ShardShedding shedding({.seed = 7});
-  Load(shedding, {60, 60, 100, 100}, seconds(3), kStart);
-  const Served served =
-      Load(shedding, {60, 60, 100, 100}, seconds(10), kStart + seconds(3));
+  RunLoad(shedding, {60, 60, 100, 100}, seconds(3), kStart);
+  const RequestCounts counts =
+      RunLoad(shedding, {60, 60, 100, 100}, seconds(10), kStart + seconds(3));
   // Four in ten must do without the one, four without the other.
-  cr_expect(served.short_of_one >= 600, "%d", served.short_of_one);
-  cr_expect(served.late <= 250, "%d", served.late);
+  cr_expect(counts.skipped_one >= 600, "%d", counts.skipped_one);
+  cr_expect(counts.late <= 250, "%d", counts.late);
 }
 
 // The shard has its targets back. A caller sees whole answers again within
 // seconds, though few requests still asked it.
 Test(shard_shedding, a_shard_with_room_again_is_asked_again) {
   ShardShedding shedding({.seed = 7});
-  Load(shedding, {10, 100, 100, 100}, seconds(5), kStart);
-  Load(shedding, {100, 100, 100, 100}, seconds(8), kStart + seconds(5));
-  const Served served =
-      Load(shedding, {100, 100, 100, 100}, seconds(2), kStart + seconds(13));
-  cr_expect(served.whole >= 190, "%d", served.whole);
+  RunLoad(shedding, {10, 100, 100, 100}, seconds(5), kStart);
+  RunLoad(shedding, {100, 100, 100, 100}, seconds(8), kStart + seconds(5));
+  const RequestCounts counts =
+      RunLoad(shedding, {100, 100, 100, 100}, seconds(2), kStart + seconds(13));
+  cr_expect(counts.complete >= 190, "%d", counts.complete);
 }
 
 // Pauses make one part in twenty late. No caller loses coverage for it.
 Test(shard_shedding, a_shard_that_is_late_now_and_then_is_asked_by_all) {
   ShardShedding shedding({.seed = 7});
-  const Served served =
-      Load(shedding, {95, 100, 100, 100}, seconds(20), kStart);
-  cr_expect(served.whole >= 1800, "%d", served.whole);
+  const RequestCounts counts =
+      RunLoad(shedding, {95, 100, 100, 100}, seconds(20), kStart);
+  cr_expect(counts.complete >= 1800, "%d", counts.complete);
 }
 
 // One shard is short, and one may be missing. Half of its parts come in time;
 // left out, callers would lose those without being answered any better.
 Test(shard_shedding, as_many_short_shards_as_may_be_missing_are_asked) {
   ShardShedding shedding({.seed = 7});
-  const Served served = Load(shedding, {50, 100, 100, 100}, seconds(5), kStart);
-  cr_expect_eq(served.short_of_one, 0);
+  const RequestCounts counts =
+      RunLoad(shedding, {50, 100, 100, 100}, seconds(5), kStart);
+  cr_expect_eq(counts.skipped_one, 0);
 }
 
 // The least share allows none to be missing.
@@ -97,8 +99,8 @@
   for (int i = 0; i < 100; ++i) {
     shedding.OnPart(kShards[0], /*in_time=*/false, kStart);
   }
-  cr_expect(shedding.ShareOf(kShards[0], kStart) > 0.8);
-  cr_expect(shedding.Choose(kShards, 0, kStart).empty());
+  cr_expect(shedding.SkipShareOf(kShards[0], kStart) > 0.8);
+  cr_expect(shedding.ChooseShardsToSkip(kShards, 0, kStart).empty());
 }
 
 }  // namespace
