--- a/knapweedroad/routing/request_run.cc
+++ b/knapweedroad/routing/request_run.cc
@@ -7,23 +7,25 @@
 namespace knapweedroad {
 namespace {
 
+// Stands for the shard of an attempt that has ended.
 constexpr uint32_t kEndedAttempt = UINT32_MAX;
-// A second attempt for which no target promised to be in time is looked for
-// again after this.
+// Delay before a hedge is tried again for which no target could be picked.
 constexpr Duration kHedgeRetryDelay = std::chrono::milliseconds(10);
-// The same where the bound on extra attempts didn't allow it.
+// The same for a hedge that the bound on extra attempts didn't allow.
 constexpr Duration kRefusedHedgeRetryDelay = std::chrono::milliseconds(30);
-// One whose targets all turned a new connection away is asked again after about
-// as long as an attempt holds a place, and each time twice as long after that.
+// A shard whose targets all rejected a new connection is asked again after
+// about as long as an attempt occupies a connection. The delay doubles each
+// time.
 constexpr Duration kUnreachedRetryDelay = std::chrono::milliseconds(10);
 constexpr int kUnreachedBackoffFactor = 2;
-// A request whose targets turn it away for this long is refused: its caller may
-// find another host that has a place.
+// A request whose targets reject connections for this long is refused, so that
+// its caller can try another host, which may have a connection to them.
 constexpr Duration kMaxUnreachedTime = std::chrono::milliseconds(450);
 
 size_t MinAnswers(size_t shards, double min_share) {
   const double min_parts = min_share * static_cast<double>(shards);
-  // The share is a decimal: 0.9 of 10 is 9, not 9.000000001.
+  // Compensates for rounding of the decimal share: 0.9 of 10 is 9, not
+  // 9.000000001.
   const auto smallest_count = static_cast<size_t>(std::ceil(min_parts - 1e-9));
   return std::max<size_t>(smallest_count, 1);
 }
@@ -54,7 +56,6 @@
   return shard;
 }
 
-// False: no target can take it now, or no further attempt is allowed.
 bool RequestRun::StartAttempt(size_t index,
                               bool is_hedge,
                               TimePoint now,
@@ -141,8 +142,8 @@
     services_with_target += this->hooks.has_untried_target(service, {}) ? 1 : 0;
   }
   for (size_t i = 0; i < this->shards.size(); ++i) {
-    // Without enough services that have a target the answer can't become a
-    // success: nothing is sent, and the caller hears at once when to come back.
+    // With too few services that have a target the request can't succeed.
+    // Nothing is sent, and the caller is refused at once.
     if (services_with_target < this->min_answers && this->options.is_scatter) {
       this->SetState(this->shards[i], ShardState::kFailed);
       continue;
@@ -211,8 +212,8 @@
   return answered < merged.size();
 }
 
-// Merged records can't be taken apart: where a shard was answered twice, the
-// answer that came alone gives way.
+// Merged records can't be separated. If a shard is answered twice, its single
+// answer is dropped, so that its records count once.
 RunStep RequestRun::OnMergedAnswers(std::span<const MergedAnswer> merged,
                                     MergedBody body,
                                     TimePoint now) {
@@ -300,8 +301,8 @@
   return this->FinishStep(std::move(step), now);
 }
 
-// A request that isn't idempotent goes on only after proof that no attempt of
-// it ran: another one after a silence may run it twice.
+// A request that isn't idempotent is sent again only after proof that its last
+// attempt did not run. Without it, the request might run twice.
 void RequestRun::Retry(size_t index,
                        bool is_proven_not_run,
                        TimePoint now,
@@ -331,10 +332,10 @@
   this->SetState(shard, ShardState::kFailed);
 }
 
-// After a loss of power targets still hold their old connections and turn new
-// ones away, while places come free all the time. Their shards are tried again
-// with increasing pauses, as each try costs the target a connection, and the
-// answer goes without them if it can.
+// After hosts have lost power, targets still count the connections from before
+// and reject new ones. Connections become free all the time, so the shard is
+// tried again. The delay grows, as each try costs the target a connection. The
+// answer is sent without the shard if the others suffice.
 bool RequestRun::SkipUnreachedShard(Shard& shard, TimePoint now) {
   if (shard.delivered > 0 || shard.unreached.empty() ||
       now - this->started_at >= kMaxUnreachedTime) {
@@ -378,7 +379,8 @@
       continue;
     }
     shard.extra_attempt_refused = false;
-    // An answer that is late and still waits can't do without the shard.
+    // A late answer that still waits needs this shard: its attempt counts as a
+    // retry.
     const bool is_hedge = now < this->options.latency_target_at;
     if (!this->StartAttempt(i, is_hedge, now, step)) {
       shard.hedge_at =
--- a/knapweedroad/routing/request_run_end.cc
+++ b/knapweedroad/routing/request_run_end.cc
@@ -1,4 +1,4 @@
-// How a run ends, and when it looks again until then.
+// The part of RequestRun that decides how a run ends and when it wakes up.
 
 #include <algorithm>
 #include <utility>
@@ -8,10 +8,11 @@
 namespace knapweedroad {
 namespace {
 
-// How often a service whose targets are all busy here is asked again.
+// Delay before a target is picked again for a service whose targets are all
+// busy.
 constexpr Duration kBusyRetryDelay = std::chrono::milliseconds(4);
-// The same as kBusyRetry once the answer is late: those that may still be in
-// time go first.
+// The same once the answer is late. It is longer so that requests that can
+// still be answered in time are sent first.
 constexpr Duration kLateBusyRetryDelay = std::chrono::milliseconds(25);
 
 }  // namespace
@@ -82,7 +83,6 @@
   this->End(step, {.kind = RunEndKind::kFailed, .cause = "attempts_failed"});
 }
 
-// Whether the request is at its end.
 bool RequestRun::EndIfDecided(TimePoint now, RunStep& step) {
   this->ReportLateParts(now);
   const size_t answered = this->answers.size();
@@ -100,7 +100,7 @@
   }
   if (answered + this->pending_count < this->min_answers ||
       now >= this->options.deadline) {
-    // What was begun in this very step isn't sent any more.
+    // The attempts started in this step are not sent.
     this->may_have_run_count -= step.starts.size();
     step.starts.clear();
     this->EndWithoutSuccess(now, step);
@@ -131,8 +131,8 @@
   return wake;
 }
 
-// An answer alone makes no wake earlier, so a scatter over many shards doesn't
-// look at all of them for each one.
+// An answer never makes the wake-up time earlier. The time is cached, so that a
+// scatter doesn't search all of its shards at each answer.
 RunStep RequestRun::FinishStep(RunStep step, TimePoint now) {
   if (this->EndIfDecided(now, step)) {
     step.starts.clear();
--- a/knapweedroad/routing/request_run_test.cc
+++ b/knapweedroad/routing/request_run_test.cc
@@ -15,7 +15,8 @@
 
 const TimePoint kStart{std::chrono::seconds(1000)};
 
-// Services a, b, c ... of three targets each: a1 a2 a3.
+// A run over services "a", "b", "c" and so on, of three targets each: "a1",
+// "a2" and "a3" for "a".
 class Fixture {
  public:
   explicit Fixture(size_t services) {
@@ -65,7 +66,7 @@
   return {.status = 200, .seal = seal, .body = "x"};
 }
 
-Test(request_run, a_scatter_ends_with_its_last_part) {
+Test(request_run, a_scatter_ends_with_its_last_answer) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   cr_assert(run.Start(kStart).starts.size() == 3);
@@ -76,9 +77,10 @@
   cr_expect(last.end->parts.size() == 3 && last.end->missing_parts == 0);
 }
 
-// A target pauses for a tenth of a second, as each does now and then. Without
-// a second attempt every third caller of a scatter over ten waits for it.
-Test(request_run, a_part_that_is_late_is_asked_of_another_target) {
+// Guards against waiting for a target that stalls for a tenth of a second, as
+// each does occasionally. Without hedging this delays every third answer of a
+// scatter over ten shards.
+Test(request_run, a_late_attempt_is_hedged) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -94,8 +96,9 @@
   cr_expect(run.extra_attempt_count() == 1);
 }
 
-// The same answer must not count twice where both attempts are answered.
-Test(request_run, one_part_of_a_service_only) {
+// Guards against counting a shard twice whose attempt and hedge are both
+// answered.
+Test(request_run, each_service_contributes_one_part) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -108,9 +111,10 @@
   cr_expect(end.end->parts.size() == 3);
 }
 
-// Editors wait on the slowest shard although what they may be given is there:
-// at the latency target the answer goes out with its true count of parts.
-Test(request_run, at_the_latency_target_the_least_share_is_enough) {
+// Guards against callers that wait for the slowest shard although enough others
+// have answered. At the latency target the answer is sent with its true count
+// of missing parts.
+Test(request_run, at_the_latency_target_the_smallest_share_is_enough) {
   Fixture fixture(3);
   fixture.extra_budget = 0;
   RequestRun run = fixture.MakeRun();
@@ -123,10 +127,11 @@
   cr_expect(end.end->missing_parts == 1);
 }
 
-// After a loss of power all targets of a shard turn this host's connections
-// away. Nothing was sent, so another may be tried at no cost; once each has
-// been, the answer goes out without the shard instead of waiting for it.
-Test(request_run, a_shard_that_turns_every_connection_away_is_not_waited_for) {
+// Guards against waiting for a shard whose targets all reject this host's
+// connections after a power loss. Nothing is sent to them, so each target is
+// tried without counting as an extra attempt. The answer is then sent without
+// the shard.
+Test(request_run, a_shard_that_rejects_all_connections_is_not_waited_for) {
   Fixture fixture(3);
   fixture.extra_budget = 0;
   RequestRun run = fixture.MakeRun();
@@ -144,9 +149,9 @@
   cr_expect(end.end->missing_parts == 1);
 }
 
-// All searchers of two shards of three are down. The answer can't become a
-// success: callers hear so at once, nothing is sent, and "not run" is true.
-Test(request_run, what_cannot_succeed_is_refused_before_anything_is_sent) {
+// Guards against sending a request that can't succeed: all targets of two of
+// three shards are down. It is refused at once as not run.
+Test(request_run, a_request_that_cannot_succeed_is_refused_before_sending) {
   Fixture fixture(3);
   fixture.down = {{"a", true}, {"b", true}};
   RequestRun run = fixture.MakeRun();
@@ -156,7 +161,7 @@
   cr_expect(step.end->retry_after == milliseconds(400));
 }
 
-// One shard is down for good: it must not hold the others' answer up.
+// Guards against an answer that is delayed by a shard that stays down.
 Test(request_run, a_service_without_targets_is_not_waited_for) {
   Fixture fixture(3);
   fixture.down = {{"b", true}};
@@ -168,9 +173,10 @@
   cr_expect(end.end->missing_parts == 1);
 }
 
-// A lookup that must not run twice loses its connection after it was sent. It
-// may have run: another attempt could run it again, and a refusal would lie.
-Test(request_run, what_may_have_run_is_not_sent_again_unless_idempotent) {
+// Guards against running a request twice that isn't idempotent. It loses its
+// connection after it was sent, so it may have run. It must neither be sent
+// again nor be reported as not run.
+Test(request_run, a_request_that_may_have_run_is_retried_only_if_idempotent) {
   Fixture fixture(1);
   fixture.options.idempotent = false;
   RequestRun run = fixture.MakeRun();
@@ -181,9 +187,10 @@
   cr_assert(end.end && end.end->kind == RunEndKind::kFailed);
 }
 
-// The same lookup meets a full target, then one that can't be reached: both
-// prove that it has not run, so it goes on, and a refusal is true.
-Test(request_run, after_proof_of_not_run_a_lookup_goes_to_another_target) {
+// Guards against giving up such a request after a target declined it or could
+// not be reached. Either proves that it has not run, so another target is
+// tried, and the run may end as not run.
+Test(request_run, after_proof_of_not_run_another_target_is_tried) {
   Fixture fixture(1);
   fixture.options.idempotent = false;
   RequestRun run = fixture.MakeRun();
@@ -199,9 +206,9 @@
   cr_expect(end.end->retry_after == milliseconds(25));
 }
 
-// A read is sent twice; the second target declines, the first is still out
-// when it breaks. It may have run, so the end promises nothing.
-Test(request_run, a_read_that_may_have_run_never_ends_as_not_run) {
+// Guards against a run that ends as not run although its first attempt may have
+// run: the hedge is declined, then the first attempt loses its connection.
+Test(request_run, a_request_that_may_have_run_never_ends_as_not_run) {
   Fixture fixture(1);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -213,7 +220,7 @@
   cr_expect(end.end->kind == RunEndKind::kFailed);
 }
 
-Test(request_run, a_targets_own_failure_is_passed_on_when_no_other_answers) {
+Test(request_run, an_error_answer_is_passed_on_when_no_other_target_answers) {
   Fixture fixture(1);
   fixture.options.max_attempts = 1;
   RequestRun run = fixture.MakeRun();
@@ -224,7 +231,7 @@
   cr_expect(end.end->answer.status == 500);
 }
 
-Test(request_run, without_an_answer_the_deadline_ends_it) {
+Test(request_run, without_an_answer_the_run_ends_at_the_deadline) {
   Fixture fixture(1);
   fixture.extra_budget = 0;
   RequestRun run = fixture.MakeRun();
@@ -234,8 +241,8 @@
   cr_assert(end.end && end.end->kind == RunEndKind::kExpired);
 }
 
-// A storm of failures must not become a storm of attempts.
-Test(request_run, without_budget_no_second_attempt_is_sent) {
+// Guards against failures that multiply the attempts.
+Test(request_run, without_budget_no_extra_attempt_is_sent) {
   Fixture fixture(3);
   fixture.extra_budget = 0;
   RequestRun run = fixture.MakeRun();
@@ -246,17 +253,18 @@
   cr_expect(run.extra_attempt_count() == 0);
 }
 
-// A shard is short of room. The caller's answer goes without its part as soon
-// as the others are in, instead of waiting for it until it is due.
-Test(request_run, an_answer_leaves_without_the_shard_that_was_left_out) {
+// Guards against an answer that waits until the latency target for an
+// overloaded shard that was skipped. It is sent as soon as the others have
+// answered.
+Test(request_run, a_skipped_shard_is_not_waited_for) {
   Fixture fixture(3);
   fixture.hooks.choose_shards_to_skip = [](size_t max_shards) {
     cr_expect(max_shards == 1);
     return std::vector<size_t>{1};
   };
   RequestRun run = fixture.MakeRun();
-  const RunStep begun = run.Start(kStart);
-  cr_assert(begun.starts.size() == 2);
+  const RunStep first = run.Start(kStart);
+  cr_assert(first.starts.size() == 2);
   run.OnAnswer(0, {.status = 200}, kStart + milliseconds(5));
   const RunStep step =
       run.OnAnswer(1, {.status = 200}, kStart + milliseconds(9));
@@ -265,9 +273,9 @@
   cr_expect(step.end->missing_parts == 1);
 }
 
-// Another shard fails altogether. The one that was left out is needed now, and
-// the caller gets an answer instead of a failure.
-Test(request_run, a_shard_left_out_is_asked_once_it_is_needed) {
+// Guards against a request that fails although a skipped shard could replace
+// one that has failed.
+Test(request_run, a_skipped_shard_is_asked_once_it_is_needed) {
   Fixture fixture(3);
   fixture.hooks.choose_shards_to_skip = [](size_t) {
     return std::vector<size_t>{1};
@@ -287,9 +295,8 @@
   cr_expect(end.end->kind == RunEndKind::kParts);
 }
 
-// Each shard is judged once: in time, late at the moment it was due, or not at
-// all where it was left out.
-Test(request_run, it_tells_which_parts_were_in_when_they_were_due) {
+// Each shard is reported once: in time, or late at the latency target.
+Test(request_run, each_part_is_reported_as_in_time_or_late) {
   Fixture fixture(3);
   std::map<std::string, bool> reported;
   fixture.hooks.on_part = [&](const ServiceId& service, bool in_time) {
@@ -306,16 +313,18 @@
   cr_expect(reported == expected);
 }
 
-// All hosts have lost their power, and the targets of two of three shards still
-// hold the connections of before. The caller got a failure within milliseconds;
-// a place comes free soon after, and the answer has all that it needs.
-Test(request_run, a_shard_it_needs_is_tried_again_after_it_turned_all_away) {
+// Guards against a request that fails within milliseconds after all hosts have
+// lost power. The targets of two of three shards still count the connections
+// from before and reject new ones. A connection becomes free soon after, and
+// the answer can then be complete enough.
+Test(request_run, a_needed_shard_is_retried_after_rejecting_all_connections) {
   Fixture fixture(3);
   fixture.options.max_attempts = 1;
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
   run.OnAnswer(0, OkAnswer("1"), kStart);
-  // Attempts 1 and 2 are the first on b and c; each shard has three targets.
+  // Attempts 1 and 2 are the first on "b" and "c"; each shard has three
+  // targets.
   for (uint32_t attempt = 1; attempt < 6; ++attempt) {
     cr_assert(
         !run.OnAttemptFailed(attempt, AttemptFailure::kNotSent, kStart).end);
@@ -328,16 +337,17 @@
   cr_expect(!retried.starts.empty());
   cr_assert(!retried.end.has_value());
   run.OnAnswer(retried.starts[0].attempt, OkAnswer("2"), again);
-  // The third shard's answer doesn't come; this one leaves when it is due.
+  // The third shard doesn't answer; the run ends at the latency target.
   const RunStep end = run.OnWake(kStart + milliseconds(100));
   cr_assert(end.end.has_value());
   cr_expect(end.end->kind == RunEndKind::kParts);
   cr_expect(end.end->missing_parts == 1);
 }
 
-// All targets of a lookup are full of connections for seconds. Its caller hears
-// within half a second that it has not run, and isn't held to the deadline.
-Test(request_run, a_lookup_that_is_connection_rejected_for_long_is_refused) {
+// Guards against a caller that waits until its deadline while all targets are
+// at their connection limit for seconds. The request is refused as not run
+// within half a second.
+Test(request_run, a_request_whose_connections_are_rejected_is_refused) {
   Fixture fixture(1);
   fixture.options.idempotent = false;
   fixture.options.deadline = kStart + milliseconds(8000);
@@ -358,9 +368,9 @@
   cr_expect(now <= kStart + milliseconds(500));
 }
 
-// Guards against hundreds of hosts that ask targets at their cap for a
-// connection a hundred times a second each, so that nobody gets a place.
-Test(request_run, targets_at_their_cap_are_asked_more_and_more_seldom) {
+// Guards against hundreds of hosts that each try to connect a hundred times a
+// second to targets at their connection limit, so that none gets a connection.
+Test(request_run, retries_of_targets_at_their_connection_limit_back_off) {
   Fixture fixture(1);
   fixture.options.deadline = kStart + milliseconds(8000);
   RequestRun run = fixture.MakeRun();
@@ -389,7 +399,7 @@
   return merged;
 }
 
-Test(request_run, merged_answers_are_in_together) {
+Test(request_run, merged_answers_count_for_all_their_shards) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -404,9 +414,9 @@
   cr_expect(bodies == "xrecords");
 }
 
-// Guards against a part that counts twice: its hedge was answered first, and
-// its records are among merged ones that can't be taken apart.
-Test(request_run, a_single_answer_gives_way_to_merged_ones_of_its_shard) {
+// Guards against counting records twice: the hedge of a shard is answered
+// first, and the shard's records are among merged ones that can't be separated.
+Test(request_run, merged_answers_replace_a_single_answer_of_their_shard) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -427,8 +437,8 @@
   cr_expect(bodies == "recordsx");
 }
 
-// Guards against records that are lost with one of several merged answers: a
-// hedge of its shard comes in after them.
+// Guards against losing the records of merged answers when a hedge of one of
+// their shards is answered after them.
 Test(request_run, a_second_answer_does_not_replace_a_merged_one) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
@@ -447,9 +457,9 @@
   cr_expect(bodies == "recordsx");
 }
 
-// The same of two groups that share a shard: the later one isn't taken, and
-// what only it has is asked for as after a failure.
-Test(request_run, groups_that_share_a_shard_are_not_mixed) {
+// The same for two groups of merged answers that share a shard: the later group
+// is dropped. Shards that only it has answered are asked again.
+Test(request_run, groups_that_share_a_shard_are_not_combined) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -463,7 +473,7 @@
   cr_expect(end.end->missing_parts == 0);
 }
 
-Test(request_run, merged_answers_after_the_end_change_nothing) {
+Test(request_run, merged_answers_after_the_end_are_ignored) {
   Fixture fixture(2);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
@@ -474,9 +484,9 @@
   cr_expect(!late.end && late.starts.empty());
 }
 
-// Guards against a request that waits until its deadline for one silent target
-// because the bound on extra attempts was used up when its hedge was due.
-Test(request_run, a_hedge_that_the_bound_refused_is_tried_again) {
+// Guards against a request that waits until its deadline for a target that
+// doesn't respond, because no extra attempt was allowed when its hedge was due.
+Test(request_run, a_refused_hedge_is_tried_again) {
   Fixture fixture(1);
   fixture.extra_budget = 0;
   RequestRun run = fixture.MakeRun();
@@ -489,7 +499,7 @@
   cr_expect(run.OnWake(*refused.wake_at).starts.size() == 1);
 }
 
-Test(request_run, an_answer_that_is_late_may_spend_what_retries_may) {
+Test(request_run, an_attempt_after_the_latency_target_counts_as_a_retry) {
   Fixture fixture(1);
   std::vector<bool> asked;
   fixture.hooks.spend_extra_attempt = [&](const ServiceId&, bool is_hedge) {
@@ -504,9 +514,9 @@
   cr_expect(asked == expected);
 }
 
-// Guards against hedges for each part that another host gathers, sent while
-// the parts are on their way.
-Test(request_run, an_attempt_on_a_longer_way_is_hedged_later) {
+// Guards against hedging every part that another host gathers while its answer
+// is in transit.
+Test(request_run, an_attempt_with_a_delayed_answer_is_hedged_later) {
   Fixture fixture(3);
   RequestRun run = fixture.MakeRun();
   run.Start(kStart);
--- a/knapweedroad/routing/retry_budget.cc
+++ b/knapweedroad/routing/retry_budget.cc
@@ -6,20 +6,23 @@
 namespace knapweedroad {
 namespace {
 
-// This host's part is taken a little short: hosts hear of each other late, and
-// an attempt arrives later than it is counted here.
+// Factors that make this host's share slightly smaller: hosts learn of each
+// other with a delay, and an attempt arrives later than it is counted here.
 constexpr double kRatioFactor = 0.93;
 constexpr double kSlackFactor = 0.9;
-// Parts of the slack: one for each of two starts within a window, and the rest.
+// Shares of the slack: one for each of two starts within a window, and the
+// remainder.
 constexpr double kStartSlackShare = 0.1;
 constexpr double kSteadySlackShare = 1 - 2 * kStartSlackShare;
-// What hedges leave to retries, as shares of the allowance: for the first
-// failures of an outlier, and however many there are.
+// What hedges leave to retries, as shares of the allowance. The smallest is for
+// the first failures of an outlier; the largest holds for any number of
+// failures.
 constexpr double kMinRetryReserve = 0.1;
 constexpr double kMaxRetryReserve = 0.5;
-// The sum of all hosts' roundings may pass its mean: so many of its standard
-// deviations are kept free. That of one host is a half at the most.
+// The sum of all hosts' rounding may exceed its mean, so this many of its
+// standard deviations stay unused.
 constexpr double kReservedDeviations = 3;
+// The largest standard deviation of one host's rounding, in attempts.
 constexpr double kMaxRoundingDeviation = 0.5;
 
 }  // namespace
@@ -51,10 +54,10 @@
   this->newest_slice = std::max(this->newest_slice, current);
 }
 
-// A host that restarts has forgotten what it spent. It has one part of the
-// slack for the first window after a start and another for later, so that two
-// starts within a window keep to the bound, and hosts that all start at once
-// can still retry.
+// A restarted host has lost its counts. It uses a small share of the slack in
+// the first window after a start and a separate one later. Two starts within a
+// window thus keep to the bound, and hosts that all start at once can still
+// retry.
 double RetryBudget::Allowance(size_t host_count) const {
   const bool is_starting = this->newest_slice < this->steady_from_slice;
   const double slack = this->limits.slack * kSlackFactor *
--- a/knapweedroad/routing/retry_budget.h
+++ b/knapweedroad/routing/retry_budget.h
@@ -1,10 +1,10 @@
-// How many attempts beyond the first of each request this host may send to a
-// service: its part of a bound that all hosts share.
+// The retries and hedges that this host may send to a service: its share of a
+// bound that all hosts keep to together.
 //
-//   RetryBudget budget({.ratio = 0.2, .slack = 58, .window = 10s}, started,
-//                      rounding);
+//   RetryBudget budget({.ratio = 0.2, .slack = 58, .window = 10s}, started_at,
+//                      rounding_threshold);
 //   budget.OnRequest(now);
-//   if (budget.SpendRetry(hosts, now)) SendAgain();
+//   if (budget.SpendRetry(host_count, now)) SendAgain();
 
 #ifndef KNAPWEEDROAD_ROUTING_RETRY_BUDGET_H_
 #define KNAPWEEDROAD_ROUTING_RETRY_BUDGET_H_
@@ -17,45 +17,50 @@
 
 namespace knapweedroad {
 
+// The bound on extra attempts, those beyond the first of each request, that all
+// hosts together send to a service: in any window at most `ratio` times the
+// requests, plus `slack`.
 struct RetryBudgetLimits {
-  // Extra attempts over requests, in any window.
   double ratio = 0.2;
-  // Extra attempts in any window beside the ratio, of all hosts together.
   double slack = 0;
   Duration window = std::chrono::seconds(10);
 };
 
-// Guards against a retry storm: targets that fail are sent more instead of
-// less, and what still worked goes down with them. Counted over a sliding
-// window in slices, the oldest of which counts in full, so that no window of
-// the bound's length sees more.
+// Prevents a retry storm, in which failing targets are sent more attempts
+// instead of fewer and overload those that still work. Counts over a sliding
+// window of slices. The oldest slice counts in full, so that no window of the
+// bound's length exceeds the bound.
 //
-// With many hosts the part of each may be less than one attempt. Parts are
-// rounded up on some hosts and down on others, so that together they use what
-// the bound allows in every window.
+// With many hosts the share of each may be less than one attempt. Shares are
+// rounded up on some hosts and down on others, so that the hosts together use
+// what the bound allows in every window.
 class RetryBudget {
  public:
-  // `started`: when this host began to send. `rounding`: from 0 to 1, evenly
-  // spread over hosts and services.
+  // `started_at`: when this host began to send. `rounding_threshold`: from 0 to
+  // 1, evenly distributed over hosts and services.
   RetryBudget(RetryBudgetLimits limits,
               TimePoint started_at,
               double rounding_threshold);
 
+  // Counts a request, which adds to the budget.
   void OnRequest(TimePoint now);
 
-  // True: one more attempt may be sent in place of a failed one, and is
-  // counted. `hosts` share the slack.
+  // Returns whether one more attempt may be sent in place of a failed one. If
+  // so, counts it. `host_count` hosts share the slack.
   bool SpendRetry(size_t host_count, TimePoint now);
 
-  // True: one more attempt may be sent beside one that is late. Leaves as much
-  // as retries have used up lately, half of all at the most.
+  // Returns whether one more attempt may be sent beside one that is late. If
+  // so, counts it.
   //
-  // A hedge's first attempt may still be answered, a failed one is lost without
-  // a retry: hedges leave a part of the budget to retries.
+  // Hedges leave a part of the budget to retries: as much as retries used in
+  // the last window, and from a tenth to half of the budget. Without a retry a
+  // failed attempt is lost, while an attempt that is late may still be answered
+  // without a hedge.
   bool SpendHedge(size_t host_count, TimePoint now);
 
  private:
-  // A window's slices, and one for the part of the oldest that is still in.
+  // The slices of a window, and one more because the window begins within the
+  // oldest slice.
   static constexpr size_t kSliceCount = 11;
 
   struct Slice {
@@ -66,19 +71,22 @@
 
   Duration SliceLength() const;
   void Advance(TimePoint now);
+  // This host's share of the bound in the current window, in attempts.
   double Allowance(size_t host_count) const;
-  // Whether one more is within the host's `part`, rounded.
+  // Whether one more extra attempt is within the rounded `allowance`.
   bool FitsOneMore(double allowance, size_t host_count) const;
   uint32_t extra_attempts() const { return this->retries + this->hedges; }
 
   RetryBudgetLimits limits;
-  // Fractions of a part from this on are rounded up; differs between hosts and
-  // services. A host that drew it anew would send more than its part.
+  // The fraction of an allowance from which on it is rounded up. It is fixed: a
+  // host that drew a new one for each attempt would exceed its share.
   double rounding_threshold = 1;
-  // The first slice that is no longer in the first window after the start.
+  // The number of the first slice after the first window since the start.
   int64_t steady_from_slice = 0;
   std::array<Slice, kSliceCount> slices{};
+  // The number of the newest slice, counted from the clock's epoch.
   int64_t newest_slice = 0;
+  // Sums over `slices`.
   uint32_t requests = 0;
   uint32_t retries = 0;
   uint32_t hedges = 0;
--- a/knapweedroad/routing/retry_budget_test.cc
+++ b/knapweedroad/routing/retry_budget_test.cc
@@ -14,15 +14,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Evenly spread over hosts, in no order.
+// Evenly distributed over hosts, in no particular order.
 double RoundingThreshold(size_t host) {
   constexpr double kGoldenRatio = 0.6180339887;
   return std::fmod(static_cast<double>(host + 1) * kGoldenRatio, 1);
 }
 
-// A service's targets fail for half a minute and every request asks for
-// another attempt. Nine hosts together must keep to the bound in each window,
-// wherever it begins.
+// Guards against exceeding the bound while a service's targets fail for half a
+// minute and every request asks for a retry. Nine hosts together keep to it in
+// each window, wherever the window begins.
 Test(retry_budget, nine_hosts_keep_to_the_bound_in_every_window) {
   constexpr size_t kHosts = 9;
   const RetryBudgetLimits limits{
@@ -54,8 +54,8 @@
   cr_expect(extra.size() > 300, "%zu", extra.size());
 }
 
-// Some targets are slow, others fail. Attempts beside slow ones must leave
-// enough to replace the failed ones: those are lost without.
+// Guards against hedges of slow attempts that use up the budget, so that failed
+// attempts can't be retried.
 Test(retry_budget, hedges_leave_as_much_as_retries_use) {
   const TimePoint now{seconds(100)};
   const RetryBudgetLimits limits{
@@ -80,9 +80,9 @@
   cr_expect(budget.SpendRetry(1, now));
 }
 
-// Guards against hosts that are restarted one after the other, or all at once,
-// and soon again, while targets fail: each has forgotten what it spent before,
-// and together they must not pass the bound in any window.
+// Guards against hosts that exceed the bound together after they are restarted,
+// one after the other or all at once, and again soon after, while targets fail.
+// A restarted host has lost its counts.
 Test(retry_budget, hosts_that_are_restarted_keep_to_the_bound) {
   constexpr Duration kStep = milliseconds(5);
   const RetryBudgetLimits limits{
@@ -118,8 +118,9 @@
   }
 }
 
-// Guards against parts that happen to be rounded up on most hosts of a fleet.
-Test(retry_budget, unlucky_roundings_keep_to_the_bound) {
+// Guards against exceeding the bound because most hosts of a fleet happen to
+// round their shares up.
+Test(retry_budget, random_rounding_thresholds_keep_to_the_bound) {
   constexpr size_t kHosts = 16;
   constexpr size_t kRequests = 8;
   constexpr int kFleets = 200;
@@ -143,19 +144,19 @@
   }
 }
 
-// Guards against a fleet that has lost its power and then loses every late part
-// of an answer for a whole window, as no host may hedge.
-Test(retry_budget, a_host_that_has_just_started_may_hedge_a_little) {
+// Guards against a fleet that loses every late part of its answers for a whole
+// window after a power loss, because no host may hedge.
+Test(retry_budget, a_host_that_has_just_started_may_hedge) {
   const TimePoint started{seconds(100)};
   RetryBudget budget({.ratio = 0, .slack = 40, .window = seconds(10)}, started,
                      /*rounding_threshold=*/1);
   cr_expect(budget.SpendHedge(1, started + seconds(1)));
 }
 
-// Guards against a fleet of hosts that each see a few requests a window, just
-// started, so that no host's part is a whole attempt and every late part of an
-// answer is lost. Nor may they pass the bound together, in any window.
-Test(retry_budget, many_hosts_with_few_requests_use_what_they_may_together) {
+// Guards against many hosts with few requests each that never hedge because no
+// host's share is a whole attempt. They have just started. Together they use
+// most of the bound, and don't exceed it in any window.
+Test(retry_budget, many_hosts_with_few_requests_use_the_bound_together) {
   constexpr size_t kHosts = 200;
   const RetryBudgetLimits limits{
       .ratio = 0.2, .slack = 0, .window = seconds(10)};
--- a/knapweedroad/routing/shard_shedding.cc
+++ b/knapweedroad/routing/shard_shedding.cc
@@ -7,9 +7,9 @@
 namespace knapweedroad {
 namespace {
 
-// A smaller share than this is none.
+// Skip shares below this count as zero.
 constexpr double kMinShare = 0.01;
-// From this share on a shard counts as short of room.
+// The skip share from which on a shard counts as overloaded.
 constexpr double kOverloadedShare = 0.15;
 
 }  // namespace
--- a/knapweedroad/routing/shard_shedding_test.cc
+++ b/knapweedroad/routing/shard_shedding_test.cc
@@ -14,14 +14,17 @@
 const std::array kShards{ServiceId("a"), ServiceId("b"), ServiceId("c"),
                          ServiceId("d")};
 
-// Requests at 100 a second, each leaving out one shard at the most. `room` says
-// how many of a shard's parts a second are in time, in the order of kShards.
+// Requests by result: all parts were in time, one shard was skipped and the
+// other parts were in time, or some part was late.
 struct RequestCounts {
   int complete = 0;
   int skipped_one = 0;
   int late = 0;
 };
 
+// Runs 100 requests a second, each of which skips at most one shard.
+// `capacity`: how many of a shard's parts a second are in time, in the order of
+// kShards.
 RequestCounts RunLoad(ShardShedding& shedding,
                       const std::array<int, 4>& capacity,
                       Duration length,
@@ -52,22 +55,22 @@
   return counts;
 }
 
-// Two of four shards have lost targets and get through six in ten requests.
-// Asked by all, both are late for nearly all callers, and no answer has its
-// least share in time. Left out by turns, most callers are served in time.
-Test(shard_shedding, two_short_shards_are_left_out_by_turns) {
+// Guards against two of four shards that have lost targets, can serve six in
+// ten requests, and are late for nearly all if each request asks both. If
+// requests skip one or the other, most are answered in time.
+Test(shard_shedding, two_overloaded_shards_are_skipped_in_turn) {
   ShardShedding shedding({.seed = 7});
   RunLoad(shedding, {60, 60, 100, 100}, seconds(3), kStart);
   const RequestCounts counts =
       RunLoad(shedding, {60, 60, 100, 100}, seconds(10), kStart + seconds(3));
-  // Four in ten must do without the one, four without the other.
+  // Four in ten requests must skip the one shard, and four the other.
   cr_expect(counts.skipped_one >= 600, "%d", counts.skipped_one);
   cr_expect(counts.late <= 250, "%d", counts.late);
 }
 
-// The shard has its targets back. A caller sees whole answers again within
-// seconds, though few requests still asked it.
-Test(shard_shedding, a_shard_with_room_again_is_asked_again) {
+// Guards against a shard that stays skipped after its targets are back because
+// few requests ask it. Answers are complete again within seconds.
+Test(shard_shedding, a_shard_that_has_recovered_is_asked_again) {
   ShardShedding shedding({.seed = 7});
   RunLoad(shedding, {10, 100, 100, 100}, seconds(5), kStart);
   RunLoad(shedding, {100, 100, 100, 100}, seconds(8), kStart + seconds(5));
@@ -76,25 +79,27 @@
   cr_expect(counts.complete >= 190, "%d", counts.complete);
 }
 
-// Pauses make one part in twenty late. No caller loses coverage for it.
-Test(shard_shedding, a_shard_that_is_late_now_and_then_is_asked_by_all) {
+// Guards against incomplete answers because short stalls make one part in
+// twenty late.
+Test(shard_shedding, a_shard_that_is_occasionally_late_is_not_skipped) {
   ShardShedding shedding({.seed = 7});
   const RequestCounts counts =
       RunLoad(shedding, {95, 100, 100, 100}, seconds(20), kStart);
   cr_expect(counts.complete >= 1800, "%d", counts.complete);
 }
 
-// One shard is short, and one may be missing. Half of its parts come in time;
-// left out, callers would lose those without being answered any better.
-Test(shard_shedding, as_many_short_shards_as_may_be_missing_are_asked) {
+// Guards against skipping the one overloaded shard where one part may be
+// missing. Half of its parts are in time. Skipping it would lose those and make
+// no answer faster.
+Test(shard_shedding, overloaded_shards_that_may_be_missing_are_asked) {
   ShardShedding shedding({.seed = 7});
   const RequestCounts counts =
       RunLoad(shedding, {50, 100, 100, 100}, seconds(5), kStart);
   cr_expect_eq(counts.skipped_one, 0);
 }
 
-// The least share allows none to be missing.
-Test(shard_shedding, nothing_is_left_out_where_all_are_needed) {
+// Guards against skipping a shard where no part may be missing.
+Test(shard_shedding, no_shard_is_skipped_where_all_are_needed) {
   ShardShedding shedding({.seed = 7});
   for (int i = 0; i < 100; ++i) {
     shedding.OnPart(kShards[0], /*in_time=*/false, kStart);
