--- a/bench/capacity/query_world.h
+++ b/bench/capacity/query_world.h
@@ -78,8 +78,8 @@
   static constexpr int kHits = 10;
   static constexpr SnapshotId kSnapshot{.generation = 1, .index_version = 17};
 
-  SubReply Reply() {
-    SubReply reply{.snapshot = kSnapshot, .units = 10};
+  SearchReply Reply() {
+    SearchReply reply{.snapshot = kSnapshot, .units = 10};
     for (int number = 0; number < kHits; ++number) {
       const uint64_t drawn = this->random();
       reply.hits.push_back({"r-" + std::to_string(drawn % 1000000),
--- a/bench/query/experiment_host.cc
+++ b/bench/query/experiment_host.cc
@@ -144,14 +144,14 @@
   QueryRun& run = *found->second.run;
   const TimePoint now = this->events.now();
   if (end == JobEnd::kAnswered) {
-    const SubReply reply{.snapshot = kSnapshot, .units = 10, .hits = {}};
+    const SearchReply reply{.snapshot = kSnapshot, .units = 10, .hits = {}};
     this->Perform(query, run.OnReply(send.attempt, reply, now));
     return;
   }
   const bool refused = end == JobEnd::kRefused;
-  SubFailure failure{
+  AttemptFailure failure{
       .outcome = RunOutcome::kNotRun,
-      .kind = refused ? FailureKind::kRefusedQueue : FailureKind::kTimeout};
+      .kind = refused ? FailureKind::kRefusedByHolder : FailureKind::kTimeout};
   if (refused) {
     failure.retry_after = retry_after;
   }
@@ -170,7 +170,7 @@
   Open& opened = found->second;
   const TimePoint now = this->events.now();
   const QueryRunStats& stats = opened.run->stats();
-  this->result.first_tries += stats.first_tries;
+  this->result.first_tries += stats.first_attempts;
   this->result.hedges += stats.hedges;
   this->result.retries += stats.retries;
   if (this->options.gate) {
--- a/knapweedroad/host/attempt_outcome.cc
+++ b/knapweedroad/host/attempt_outcome.cc
@@ -14,7 +14,7 @@
 FailureKind KindOf(AttemptEnd end) {
   switch (end) {
     case AttemptEnd::kRefused:
-      return FailureKind::kRefusedQueue;
+      return FailureKind::kRefusedByHolder;
     case AttemptEnd::kShed:
       return FailureKind::kShed;
     case AttemptEnd::kNoSnapshot:
@@ -25,7 +25,7 @@
       return FailureKind::kLeaving;
     case AttemptEnd::kAnswered:
     case AttemptEnd::kBroken:
-      return FailureKind::kBroken;
+      return FailureKind::kInvalidReply;
     case AttemptEnd::kNotHolder:
     case AttemptEnd::kConnection:
     case AttemptEnd::kCancelled:
@@ -34,15 +34,15 @@
   return FailureKind::kConnection;
 }
 
-SubFailure FailureOf(const AttemptReply& reply) {
-  SubFailure failure{.outcome = reply.outcome, .kind = KindOf(reply.end)};
+AttemptFailure FailureOf(const AttemptReply& reply) {
+  AttemptFailure failure{.outcome = reply.outcome, .kind = KindOf(reply.end)};
   if (reply.retry_after_ns > 0) {
     failure.retry_after = Duration(reply.retry_after_ns);
   }
   return failure;
 }
 
-bool ReadHits(const json& body, SubReply& reply) {
+bool ReadHits(const json& body, SearchReply& reply) {
   if (!body.contains("hits") || !body["hits"].is_array()) {
     return false;
   }
@@ -59,12 +59,13 @@
 
 }  // namespace
 
-tl::expected<SubReply, SubFailure> ReadSubReply(const AttemptReply& reply) {
+tl::expected<SearchReply, AttemptFailure> ReadSubReply(
+    const AttemptReply& reply) {
   if (reply.end != AttemptEnd::kAnswered) {
     return tl::unexpected(FailureOf(reply));
   }
   const json body = json::parse(reply.body, nullptr, false);
-  SubReply read{.snapshot = reply.snapshot};
+  SearchReply read{.snapshot = reply.snapshot};
   if (!body.is_object() || !body.contains("units") ||
       !body["units"].is_number_unsigned() || !ReadHits(body, read)) {
     return tl::unexpected(FailureOf(reply));
@@ -73,7 +74,7 @@
   return read;
 }
 
-tl::expected<RecordReply, SubFailure> ReadRecordReply(AttemptReply reply) {
+tl::expected<RecordReply, AttemptFailure> ReadRecordReply(AttemptReply reply) {
   if (reply.end != AttemptEnd::kAnswered) {
     return tl::unexpected(FailureOf(reply));
   }
--- a/knapweedroad/host/attempt_outcome.h
+++ b/knapweedroad/host/attempt_outcome.h
@@ -5,18 +5,19 @@
 
 #include <tl/expected.hpp>
 
+#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/record_reply.h"
-#include "knapweedroad/query/sub_failure.h"
-#include "knapweedroad/query/sub_reply.h"
+#include "knapweedroad/query/search_reply.h"
 #include "knapweedroad/wire/attempt_reply.h"
 
 namespace knapweedroad {
 
 // A search's answer; a body that can't be read is a failure of a request that
 // ran.
-tl::expected<SubReply, SubFailure> ReadSubReply(const AttemptReply& reply);
+tl::expected<SearchReply, AttemptFailure> ReadSubReply(
+    const AttemptReply& reply);
 
-tl::expected<RecordReply, SubFailure> ReadRecordReply(AttemptReply reply);
+tl::expected<RecordReply, AttemptFailure> ReadRecordReply(AttemptReply reply);
 
 }  // namespace knapweedroad
 
--- a/knapweedroad/host/coordinator.cc
+++ b/knapweedroad/host/coordinator.cc
@@ -121,7 +121,7 @@
  public:
   using Result = std::variant<QueryAnswer, RecordReply, QueryRefusal>;
   using ReadReply =
-      std::function<tl::expected<Reply, SubFailure>(AttemptReply)>;
+      std::function<tl::expected<Reply, AttemptFailure>(AttemptReply)>;
   using MakeCall = std::function<AttemptCall(const SendAttempt&)>;
 
   LiveRun(Runtime& runtime,
@@ -263,7 +263,7 @@
 HttpResponse Coordinator::State::AnswerQuery(const CallerRequest& request,
                                              const FrontPtr& front,
                                              HttpExchange& exchange) {
-  using Live = LiveRun<QueryRun, SubReply>;
+  using Live = LiveRun<QueryRun, SearchReply>;
   auto live = std::make_shared<Live>(
       this->runtime, this->options.router,
       [self = this->shared_from_this(), request,
@@ -287,7 +287,7 @@
   if (const auto* answer = std::get_if<QueryAnswer>(&*result)) {
     this->options.metrics.ObserveCoverage(request.front->name, request.tenant,
                                           answer->coverage.Value());
-    if (!answer->coverage.IsWhole()) {
+    if (!answer->coverage.IsComplete()) {
       LogPartial(request, *answer);
     }
     return QueryResponse(request, *answer, this->options.host);
--- a/knapweedroad/metrics/host_metrics.cc
+++ b/knapweedroad/metrics/host_metrics.cc
@@ -89,7 +89,7 @@
           .Increment(times);
     }
   };
-  count("first", stats.first_tries);
+  count("first", stats.first_attempts);
   count("hedge", stats.hedges);
   count("retry", stats.retries);
   count("restart", stats.restarts);
--- a/knapweedroad/query/call_context.h
+++ b/knapweedroad/query/call_context.h
@@ -29,7 +29,7 @@
 
 // Attempts of one caller's request, for metrics.
 struct QueryRunStats {
-  uint32_t first_tries = 0;
+  uint32_t first_attempts = 0;
   uint32_t hedges = 0;
   uint32_t retries = 0;
   uint32_t restarts = 0;
@@ -52,9 +52,9 @@
 inline TimePoint AnswerBy(TimePoint start,
                           TimePoint deadline,
                           Duration margin) {
-  constexpr int kLargestShare = 4;
-  const Duration largest = (deadline - start) / kLargestShare;
-  return deadline - (margin < largest ? margin : largest);
+  constexpr int kMaxMarginDivisor = 4;
+  const Duration max_margin = (deadline - start) / kMaxMarginDivisor;
+  return deadline - (margin < max_margin ? margin : max_margin);
 }
 
 struct CallContext {
--- a/knapweedroad/query/coverage.cc
+++ b/knapweedroad/query/coverage.cc
@@ -6,34 +6,34 @@
 namespace knapweedroad {
 namespace {
 
-constexpr uint64_t kSteps = 10'000;
+constexpr uint64_t kStepCount = 10'000;
 
 // Integers throughout: 9,999,999 of 10,000,000 units must not round up to 1.
-uint64_t Steps(const Coverage& coverage) {
+uint64_t CompletedSteps(const Coverage& coverage) {
   if (coverage.units_total == 0) {
     return 0;
   }
   const uint64_t answered =
       std::min(coverage.units_answered, coverage.units_total);
-  return answered * kSteps / coverage.units_total;
+  return answered * kStepCount / coverage.units_total;
 }
 
 }  // namespace
 
 double Coverage::Value() const {
-  return static_cast<double>(Steps(*this)) / kSteps;
+  return static_cast<double>(CompletedSteps(*this)) / kStepCount;
 }
 
 std::string Coverage::ToText() const {
-  const uint64_t steps = Steps(*this);
+  const uint64_t steps = CompletedSteps(*this);
   char text[16];
   std::snprintf(text, sizeof(text), "%u.%04u",
-                static_cast<unsigned>(steps / kSteps),
-                static_cast<unsigned>(steps % kSteps));
+                static_cast<unsigned>(steps / kStepCount),
+                static_cast<unsigned>(steps % kStepCount));
   return text;
 }
 
-bool Coverage::IsWhole() const {
+bool Coverage::IsComplete() const {
   return this->units_total > 0 && this->units_answered >= this->units_total;
 }
 
--- a/knapweedroad/query/coverage.h
+++ b/knapweedroad/query/coverage.h
@@ -25,7 +25,7 @@
   // Value() with four decimals.
   std::string ToText() const;
 
-  bool IsWhole() const;
+  bool IsComplete() const;
 
   // Whether at least this share (0 to 1) is covered, unrounded.
   bool Reaches(double share) const;
--- a/knapweedroad/query/front_gate.h
+++ b/knapweedroad/query/front_gate.h
@@ -31,7 +31,7 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
-#include "knapweedroad/query/latency_book.h"
+#include "knapweedroad/query/latency_tracker.h"
 #include "knapweedroad/query/query_answer.h"
 
 namespace knapweedroad {
--- a/knapweedroad/query/front_state.h
+++ b/knapweedroad/query/front_state.h
@@ -8,7 +8,7 @@
 #define KNAPWEEDROAD_QUERY_FRONT_STATE_H_
 
 #include "knapweedroad/config/front_config.h"
-#include "knapweedroad/query/latency_book.h"
+#include "knapweedroad/query/latency_tracker.h"
 #include "knapweedroad/query/token_budget.h"
 
 namespace knapweedroad {
@@ -35,7 +35,7 @@
     }
   }
 
-  LatencyBook latencies;
+  LatencyTracker latencies;
   TokenBudget hedges;
   TokenBudget retries;
   bool is_overloaded = false;
--- a/knapweedroad/query/hit_merge.cc
+++ b/knapweedroad/query/hit_merge.cc
@@ -6,7 +6,7 @@
 namespace knapweedroad {
 namespace {
 
-bool Better(const Hit& left, const Hit& right) {
+bool RanksBefore(const Hit& left, const Hit& right) {
   if (left.score != right.score) {
     return left.score > right.score;
   }
@@ -16,7 +16,7 @@
 }  // namespace
 
 std::vector<Hit> MergeHits(std::vector<Hit> hits, uint32_t limit) {
-  std::ranges::sort(hits, Better);
+  std::ranges::sort(hits, RanksBefore);
   std::unordered_set<std::string> seen;
   std::vector<Hit> merged;
   for (Hit& hit : hits) {
--- a/knapweedroad/query/hit_merge.h
+++ b/knapweedroad/query/hit_merge.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "knapweedroad/query/sub_reply.h"
+#include "knapweedroad/query/search_reply.h"
 
 namespace knapweedroad {
 
--- a/knapweedroad/query/latency_book.h
+++ b/knapweedroad/query/latency_tracker.h
@@ -1,11 +1,11 @@
 // Measured latencies of each service, by the zone of the target that answered.
 //
-//   LatencyBook book;
-//   book.Record(service, zone, 12ms);
-//   std::optional<Duration> slow = book.Quantile(service, zone, 0.95);
+//   LatencyTracker tracker;
+//   tracker.Record(service, zone, 12ms);
+//   std::optional<Duration> slow = tracker.Quantile(service, zone, 0.95);
 
-#ifndef KNAPWEEDROAD_QUERY_LATENCY_BOOK_H_
-#define KNAPWEEDROAD_QUERY_LATENCY_BOOK_H_
+#ifndef KNAPWEEDROAD_QUERY_LATENCY_TRACKER_H_
+#define KNAPWEEDROAD_QUERY_LATENCY_TRACKER_H_
 
 #include <map>
 #include <optional>
@@ -34,12 +34,12 @@
   std::vector<double> weights;
 };
 
-class LatencyBook {
+class LatencyTracker {
  public:
   // Samples of about this many last requests count.
   static constexpr double kDefaultWindow = 2000.0;
 
-  explicit LatencyBook(double window = kDefaultWindow);
+  explicit LatencyTracker(double window = kDefaultWindow);
 
   void Record(const ServiceId& service, const ZoneId& zone, Duration latency);
 
@@ -51,17 +51,17 @@
                                    double quantile) const;
 
  private:
-  struct Entry {
-    DecayingHistogram all;
-    std::map<ZoneId, DecayingHistogram> zones;
+  struct ServiceLatencies {
+    DecayingHistogram all_zones;
+    std::map<ZoneId, DecayingHistogram> by_zone;
   };
 
   double window;
   // Of all services.
-  DecayingHistogram front;
-  std::map<ServiceId, Entry> entries;
+  DecayingHistogram all_services;
+  std::map<ServiceId, ServiceLatencies> by_service;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_QUERY_LATENCY_BOOK_H_
+#endif  // KNAPWEEDROAD_QUERY_LATENCY_TRACKER_H_
--- a/knapweedroad/query/lookup_run.cc
+++ b/knapweedroad/query/lookup_run.cc
@@ -42,7 +42,7 @@
 }
 
 RecordStep LookupRun::OnFailure(const AttemptId& attempt,
-                                const SubFailure& failure,
+                                const AttemptFailure& failure,
                                 TimePoint now) {
   RecordStep step;
   if (!this->live || this->live->id != attempt) {
@@ -95,7 +95,7 @@
   }
   const auto candidates = this->options.hooks.candidates(this->options.service);
   const ServiceConfig& config =
-      FindService(this->options.front, this->options.service);
+      ServiceConfigOrDefault(this->options.front, this->options.service);
   const auto choice =
       ChooseReplica(candidates, {.own_zone = this->options.own_zone,
                                  .snapshot = std::nullopt,
@@ -113,10 +113,10 @@
         step);
     return;
   }
-  this->live = LiveAttempt{.id = this->options.hooks.next_attempt_id(),
-                           .target = choice->target,
-                           .zone = choice->zone,
-                           .sent = now};
+  this->live = InFlightAttempt{.id = this->options.hooks.next_attempt_id(),
+                               .target = choice->target,
+                               .zone = choice->zone,
+                               .sent = now};
   const AttemptPurpose purpose =
       this->tried.empty() ? AttemptPurpose::kFirst : AttemptPurpose::kRetry;
   this->tried.push_back(choice->target);
--- a/knapweedroad/query/lookup_run.h
+++ b/knapweedroad/query/lookup_run.h
@@ -19,10 +19,10 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
+#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/record_run.h"
 #include "knapweedroad/query/service_call.h"
-#include "knapweedroad/query/sub_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -51,7 +51,7 @@
                      RecordReply reply,
                      TimePoint now);
   RecordStep OnFailure(const AttemptId& attempt,
-                       const SubFailure& failure,
+                       const AttemptFailure& failure,
                        TimePoint now);
   RecordStep OnTimer(TimePoint now);
   std::optional<TimePoint> NextWake() const;
@@ -65,7 +65,7 @@
   LookupRunOptions options;
   TimePoint answer_by;
   // The one attempt in flight.
-  std::optional<LiveAttempt> live;
+  std::optional<InFlightAttempt> live;
   std::vector<TargetId> tried;
   std::optional<Duration> shortest_wait;
   bool is_finished = false;
--- a/knapweedroad/query/query_answer.h
+++ b/knapweedroad/query/query_answer.h
@@ -11,7 +11,7 @@
 #include "knapweedroad/base/snapshot_id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/query/coverage.h"
-#include "knapweedroad/query/sub_reply.h"
+#include "knapweedroad/query/search_reply.h"
 
 namespace knapweedroad {
 
--- a/knapweedroad/query/query_history_test.cc
+++ b/knapweedroad/query/query_history_test.cc
@@ -8,44 +8,46 @@
 #include <set>
 
 #include "knapweedroad/query/query_run.h"
-#include "knapweedroad/query/query_test_world.h"
+#include "knapweedroad/query/query_test_fixture.h"
 
 namespace knapweedroad {
 namespace {
 
-constexpr int kCourses = 3000;
-constexpr int kDeadline = 100;
+constexpr int kHistoryCount = 3000;
+constexpr int kDeadlineMs = 100;
 
 // Drives one query to its end and keeps what was sent and what came back.
-class Course {
+class RandomHistory {
  public:
-  explicit Course(uint64_t seed) : random(seed), run(this->world.MakeRun()) {
-    this->world.front.minimum_coverage = 0.1 * this->Draw(8);
-    this->world.front.policy =
+  explicit RandomHistory(uint64_t seed)
+      : random(seed), run(this->fixture.MakeRun()) {
+    this->fixture.front.minimum_coverage = 0.1 * this->Draw(8);
+    this->fixture.front.policy =
         this->Draw(2) == 0 ? AnswerPolicy::kTail : AnswerPolicy::kCoverage;
-    this->world.AddTarget("s1", "s1-c", "there");
-    this->world.LearnLatency(std::chrono::milliseconds(8));
+    this->fixture.AddTarget("s1", "s1-c", "there");
+    this->fixture.RecordLatencies(std::chrono::milliseconds(8));
   }
 
   void Drive() {
-    this->Note(this->run.Start(this->world.At(0)));
-    for (int ms = 1; ms <= kDeadline; ++ms) {
-      const TimePoint now = this->world.At(ms);
+    this->RecordActions(this->run.Start(this->fixture.At(0)));
+    for (int ms = 1; ms <= kDeadlineMs; ++ms) {
+      const TimePoint now = this->fixture.At(ms);
       this->ChangeTargets();
-      this->Answer(now);
+      this->EndAttempts(now);
       const auto wake = this->run.NextWake();
       // Early and late timers too: they must do no harm.
       if ((wake && *wake <= now) || this->Draw(10) == 0) {
-        this->Note(this->run.OnTimer(now));
+        this->RecordActions(this->run.OnTimer(now));
       }
     }
   }
 
   void Check() const {
-    cr_assert_eq(this->finishes, 1);
+    cr_assert_eq(this->finish_count, 1);
     cr_assert(!this->acted_after_finish);
     for (const auto& [attempt, send] : this->sent) {
-      cr_assert(this->ended.contains(attempt), "neither ended nor cancelled");
+      cr_assert(this->ended_ids.contains(attempt),
+                "neither ended nor cancelled");
     }
     if (!this->answer) {
       return;
@@ -55,7 +57,8 @@
     for (const Hit& hit : this->answer->hits) {
       const SendAttempt& send = this->sent.at(AttemptId(hit.id));
       cr_assert_eq(send.snapshot, this->answer->snapshot);
-      cr_assert_eq(this->replied.at(send.attempt), this->answer->snapshot);
+      cr_assert_eq(this->replied_snapshots.at(send.attempt),
+                   this->answer->snapshot);
       cr_assert(services.insert(send.service.str()).second);
       units += send.service == ServiceId("s1") ? 60 : 40;
     }
@@ -69,35 +72,35 @@
     return static_cast<int>(this->random() % static_cast<uint64_t>(below));
   }
 
-  void Note(const QueryActions& actions) {
-    this->acted_after_finish |= this->finishes > 0 && !actions.empty();
+  void RecordActions(const QueryActions& actions) {
+    this->acted_after_finish |= this->finish_count > 0 && !actions.empty();
     for (const SendAttempt& send : Sends(actions)) {
-      const auto& targets = this->world.targets.at(send.service);
+      const auto& targets = this->fixture.targets.at(send.service);
       const auto target =
           std::ranges::find(targets, send.target, &TargetCandidate::target);
       cr_assert(target->usable, "new work for a target that may get none");
       cr_assert(this->sent.emplace(send.attempt, send).second);
-      this->open.push_back(send.attempt);
+      this->sent_ids.push_back(send.attempt);
     }
     for (const CancelAttempt& cancel : Cancels(actions)) {
-      this->ended.insert(cancel.attempt);
+      this->ended_ids.insert(cancel.attempt);
     }
     if (auto answer = knapweedroad::Answer(actions)) {
       this->answer = answer;
-      this->finishes += 1;
+      this->finish_count += 1;
     }
-    this->finishes += Refusal(actions) ? 1 : 0;
+    this->finish_count += Refusal(actions) ? 1 : 0;
   }
 
   void ChangeTargets() {
-    for (auto& [service, candidates] : this->world.targets) {
+    for (auto& [service, candidates] : this->fixture.targets) {
       for (TargetCandidate& target : candidates) {
         switch (this->Draw(60)) {
           case 0:
-            target.holds = {kOld, kNew};
+            target.holds = {kOldSnapshot, kNewSnapshot};
             break;
           case 1:
-            target.holds = {kNew};
+            target.holds = {kNewSnapshot};
             break;
           case 2:
             target.usable = !target.usable;
@@ -110,46 +113,47 @@
   }
 
   // Ends some attempts, those that were cancelled or answered included.
-  void Answer(TimePoint now) {
-    for (size_t index = 0; index < this->open.size(); ++index) {
-      const AttemptId attempt = this->open[index];
-      const int what = this->Draw(40);
-      if (what == 0) {
+  void EndAttempts(TimePoint now) {
+    for (size_t index = 0; index < this->sent_ids.size(); ++index) {
+      const AttemptId attempt = this->sent_ids[index];
+      const int event = this->Draw(40);
+      if (event == 0) {
         const SnapshotId snapshot =
-            this->Draw(4) == 0 ? kNew : this->sent.at(attempt).snapshot;
-        this->ended.insert(attempt);
-        this->replied.emplace(attempt, snapshot);
-        this->Note(this->run.OnReply(
-            attempt, this->world.Reply(attempt.str().c_str(), snapshot), now));
-      } else if (what == 1) {
-        this->ended.insert(attempt);
-        const SubFailure failure{
+            this->Draw(4) == 0 ? kNewSnapshot : this->sent.at(attempt).snapshot;
+        this->ended_ids.insert(attempt);
+        this->replied_snapshots.emplace(attempt, snapshot);
+        this->RecordActions(this->run.OnReply(
+            attempt, this->fixture.Reply(attempt.str().c_str(), snapshot),
+            now));
+      } else if (event == 1) {
+        this->ended_ids.insert(attempt);
+        const AttemptFailure failure{
             .outcome = static_cast<RunOutcome>(this->Draw(3)),
             .kind = static_cast<FailureKind>(this->Draw(7))};
-        this->Note(this->run.OnFailure(attempt, failure, now));
+        this->RecordActions(this->run.OnFailure(attempt, failure, now));
       }
     }
   }
 
-  QueryTestWorld world;
+  QueryTestFixture fixture;
   std::mt19937_64 random;
   QueryRun run;
   std::map<AttemptId, SendAttempt> sent;
-  std::vector<AttemptId> open;
+  std::vector<AttemptId> sent_ids;
   // Ended by an answer or failure, or cancelled.
-  std::set<AttemptId> ended;
+  std::set<AttemptId> ended_ids;
   // The snapshot of its first answer.
-  std::map<AttemptId, SnapshotId> replied;
+  std::map<AttemptId, SnapshotId> replied_snapshots;
   std::optional<QueryAnswer> answer;
-  int finishes = 0;
+  int finish_count = 0;
   bool acted_after_finish = false;
 };
 
-Test(QueryHistory, EveryCourseEndsInOneTrueAnswerOfOneSnapshot) {
-  for (uint64_t seed = 0; seed < kCourses; ++seed) {
-    Course course(seed);
-    course.Drive();
-    course.Check();
+Test(QueryHistory, EveryHistoryFinishesOnceWithOneSnapshot) {
+  for (uint64_t seed = 0; seed < kHistoryCount; ++seed) {
+    RandomHistory history(seed);
+    history.Drive();
+    history.Check();
   }
 }
 
--- a/knapweedroad/query/query_run.cc
+++ b/knapweedroad/query/query_run.cc
@@ -31,7 +31,7 @@
     return actions;
   }
   const auto choice = ChooseSnapshot(this->options.front, this->AllCandidates(),
-                                     this->options.snapshot_rule);
+                                     this->options.snapshot_policy);
   if (!choice) {
     this->Refuse({.status = 503,
                   .title = "No target",
@@ -41,61 +41,61 @@
                  actions);
     return actions;
   }
-  this->Pin(choice->snapshot);
+  this->PinSnapshot(choice->snapshot);
   // What can't reach the minimum is refused before it loads any target.
   if (choice->reachable.Reaches(this->options.front.minimum_coverage)) {
-    this->SendAll(now, actions);
+    this->StartServices(now, actions);
   } else {
     this->Finish(now, actions);
     return actions;
   }
-  this->Settle(now, actions);
+  this->FinishOrRestart(now, actions);
   return actions;
 }
 
 QueryActions QueryRun::OnReply(const AttemptId& attempt,
-                               SubReply reply,
+                               SearchReply reply,
                                TimePoint now) {
   QueryActions actions;
   // Only ids that are awaited right now are looked up, and a restart forgets
   // those of before: a late answer may be of another query or snapshot.
-  for (Part& part : this->parts) {
-    const auto taken = part.call.Take(attempt);
+  for (ServiceProgress& service : this->services) {
+    const auto taken = service.call.TakeAttempt(attempt);
     if (!taken) {
       continue;
     }
     this->any_run = true;
-    if (reply.snapshot == this->pinned) {
-      part.units_answered = std::min(reply.units, part.units);
-      part.hits = std::move(reply.hits);
-      part.call.OnAnswered(this->Context(), *taken, now, actions);
+    if (reply.snapshot == this->pinned_snapshot) {
+      service.units_answered = std::min(reply.units, service.units);
+      service.hits = std::move(reply.hits);
+      service.call.OnAnswered(this->Context(), *taken, now, actions);
     } else {
       this->run_stats.wrong_snapshots += 1;
-      part.snapshot_lost = true;
-      const SubFailure failure{.outcome = RunOutcome::kRun,
-                               .kind = FailureKind::kBroken};
-      part.call.OnFailed(this->Context(), *taken, failure, now, actions);
+      service.snapshot_missing = true;
+      const AttemptFailure failure{.outcome = RunOutcome::kRun,
+                                   .kind = FailureKind::kInvalidReply};
+      service.call.OnFailed(this->Context(), *taken, failure, now, actions);
     }
-    this->Settle(now, actions);
+    this->FinishOrRestart(now, actions);
     break;
   }
   return actions;
 }
 
 QueryActions QueryRun::OnFailure(const AttemptId& attempt,
-                                 const SubFailure& failure,
+                                 const AttemptFailure& failure,
                                  TimePoint now) {
   QueryActions actions;
-  for (Part& part : this->parts) {
-    const auto taken = part.call.Take(attempt);
+  for (ServiceProgress& service : this->services) {
+    const auto taken = service.call.TakeAttempt(attempt);
     if (!taken) {
       continue;
     }
-    this->NoteOutcome(failure.outcome);
-    part.snapshot_lost =
-        part.snapshot_lost || failure.kind == FailureKind::kNoSnapshot;
-    part.call.OnFailed(this->Context(), *taken, failure, now, actions);
-    this->Settle(now, actions);
+    this->RecordOutcome(failure.outcome);
+    service.snapshot_missing =
+        service.snapshot_missing || failure.kind == FailureKind::kNoSnapshot;
+    service.call.OnFailed(this->Context(), *taken, failure, now, actions);
+    this->FinishOrRestart(now, actions);
     break;
   }
   return actions;
@@ -103,11 +103,11 @@
 
 QueryActions QueryRun::OnTimer(TimePoint now) {
   QueryActions actions;
-  this->Settle(now, actions);
-  for (Part& part : this->parts) {
-    part.call.OnTimer(this->Context(), now, actions);
+  this->FinishOrRestart(now, actions);
+  for (ServiceProgress& service : this->services) {
+    service.call.OnTimer(this->Context(), now, actions);
   }
-  this->Settle(now, actions);
+  this->FinishOrRestart(now, actions);
   return actions;
 }
 
@@ -127,11 +127,11 @@
   TimePoint wake = this->answer_by;
   const FrontConfig& front = this->options.front;
   if (front.policy == AnswerPolicy::kTail &&
-      this->Answered().Reaches(front.minimum_coverage)) {
+      this->AnsweredCoverage().Reaches(front.minimum_coverage)) {
     wake = std::min(wake, this->options.start + front.tail_target);
   }
-  for (const Part& part : this->parts) {
-    wake = std::min(wake, part.call.NextWake().value_or(wake));
+  for (const ServiceProgress& service : this->services) {
+    wake = std::min(wake, service.call.NextWake().value_or(wake));
   }
   return wake;
 }
@@ -157,93 +157,96 @@
   return candidates;
 }
 
-void QueryRun::Pin(const SnapshotId& snapshot) {
-  this->pinned = snapshot;
-  this->parts.clear();
+void QueryRun::PinSnapshot(const SnapshotId& snapshot) {
+  this->pinned_snapshot = snapshot;
+  this->services.clear();
   const auto* generation =
       FindGeneration(this->options.front, snapshot.generation);
   for (const auto& [service, units] : generation->units) {
-    this->parts.push_back(
+    this->services.push_back(
         {.call = ServiceCall(service, snapshot), .units = units});
   }
 }
 
-void QueryRun::SendAll(TimePoint now, QueryActions& actions) {
-  for (Part& part : this->parts) {
-    part.call.Start(this->Context(), now, actions);
+void QueryRun::StartServices(TimePoint now, QueryActions& actions) {
+  for (ServiceProgress& service : this->services) {
+    service.call.Start(this->Context(), now, actions);
   }
 }
 
-void QueryRun::Settle(TimePoint now, QueryActions& actions) {
+void QueryRun::FinishOrRestart(TimePoint now, QueryActions& actions) {
   if (this->is_finished || this->TryRestart(now, actions)) {
     return;
   }
-  const bool hopeless =
-      !this->Possible().Reaches(this->options.front.minimum_coverage);
-  if (!this->AnyOpen() || hopeless || this->TailAtRisk(now) ||
-      now >= this->answer_by) {
+  const bool below_minimum =
+      !this->ReachableCoverage().Reaches(this->options.front.minimum_coverage);
+  if (!this->AnyPending() || below_minimum ||
+      this->CanFinishAtTailTarget(now) || now >= this->answer_by) {
     this->Finish(now, actions);
   }
 }
 
-bool QueryRun::TailAtRisk(TimePoint now) const {
+bool QueryRun::CanFinishAtTailTarget(TimePoint now) const {
   const FrontConfig& front = this->options.front;
-  const Coverage answered = this->Answered();
+  const Coverage answered = this->AnsweredCoverage();
   return front.policy == AnswerPolicy::kTail &&
          now >= this->options.start + front.tail_target &&
          answered.units_answered > 0 &&
          answered.Reaches(front.minimum_coverage);
 }
 
-bool QueryRun::SnapshotLost(const Part& part) const {
-  if (part.call.state() != ServiceCall::State::kGivenUp) {
+bool QueryRun::SnapshotUnavailable(const ServiceProgress& service) const {
+  if (service.call.state() != ServiceCall::State::kFailed) {
     return false;
   }
-  const auto candidates = this->options.hooks.candidates(part.call.service());
-  return part.snapshot_lost ||
+  const auto candidates =
+      this->options.hooks.candidates(service.call.service());
+  return service.snapshot_missing ||
          std::ranges::none_of(candidates, [this](const auto& candidate) {
-           return CanServe(candidate, this->pinned);
+           return CanServe(candidate, this->pinned_snapshot);
          });
 }
 
 bool QueryRun::TryRestart(TimePoint now, QueryActions& actions) {
   if (this->run_stats.restarts >= kMaxRestarts ||
-      std::ranges::none_of(this->parts, [this](const auto& part) {
-        return this->SnapshotLost(part);
+      std::ranges::none_of(this->services, [this](const auto& service) {
+        return this->SnapshotUnavailable(service);
       })) {
     return false;
   }
-  const auto choice = ChooseSnapshot(this->options.front, this->AllCandidates(),
-                                     this->options.snapshot_rule, this->pinned);
-  if (!choice || !CoversMore(choice->reachable, this->Possible())) {
+  const auto choice =
+      ChooseSnapshot(this->options.front, this->AllCandidates(),
+                     this->options.snapshot_policy, this->pinned_snapshot);
+  if (!choice || !CoversMore(choice->reachable, this->ReachableCoverage())) {
     return false;
   }
-  Duration needed{};
+  Duration expected_latency{};
   const auto* generation =
       FindGeneration(this->options.front, choice->snapshot.generation);
   for (const auto& [service, units] : generation->units) {
-    needed = std::max(needed, TypicalLatency(this->Context(), service));
+    expected_latency =
+        std::max(expected_latency, MedianLatency(this->Context(), service));
   }
-  if (now + needed >= this->answer_by) {
+  if (now + expected_latency >= this->answer_by) {
     return false;
   }
   this->run_stats.restarts += 1;
   this->CancelAll(now, actions);
-  this->Pin(choice->snapshot);
-  this->SendAll(now, actions);
+  this->PinSnapshot(choice->snapshot);
+  this->StartServices(now, actions);
   return true;
 }
 
 void QueryRun::CancelAll(TimePoint now, QueryActions& actions) {
-  for (Part& part : this->parts) {
-    this->any_unknown = this->any_unknown || part.call.has_live();
-    part.call.CancelLive(this->Context(), now, actions);
+  for (ServiceProgress& service : this->services) {
+    this->any_unknown = this->any_unknown || service.call.has_in_flight();
+    service.call.CancelInFlight(this->Context(), now, actions);
   }
 }
 
 void QueryRun::Finish(TimePoint now, QueryActions& actions) {
   this->CancelAll(now, actions);
-  const Coverage answered = this->Answered();
+  const Coverage answered = this->AnsweredCoverage();
   if (answered.units_answered > 0 &&
       answered.Reaches(this->options.front.minimum_coverage)) {
     this->is_finished = true;
@@ -255,16 +258,16 @@
 
 QueryAnswer QueryRun::MakeAnswer() {
   QueryAnswer answer{.request_id = this->options.request_id,
-                     .snapshot = this->pinned,
-                     .coverage = this->Answered(),
+                     .snapshot = this->pinned_snapshot,
+                     .coverage = this->AnsweredCoverage(),
                      .missing_services = {},
                      .hits = {}};
   std::vector<Hit> hits;
-  for (Part& part : this->parts) {
-    if (part.units_answered < part.units) {
-      answer.missing_services.push_back(part.call.service());
+  for (ServiceProgress& service : this->services) {
+    if (service.units_answered < service.units) {
+      answer.missing_services.push_back(service.call.service());
     }
-    std::ranges::move(part.hits, std::back_inserter(hits));
+    std::ranges::move(service.hits, std::back_inserter(hits));
   }
   answer.hits = MergeHits(std::move(hits), this->options.limit);
   return answer;
@@ -276,7 +279,8 @@
                        .detail = {},
                        .outcome = RunOutcome::kNotRun,
                        .retry_after = {}};
-  refusal.detail = "covered " + this->Answered().ToText() + " of the index" +
+  refusal.detail = "covered " + this->AnsweredCoverage().ToText() +
+                   " of the index" +
                    (now >= this->answer_by ? " by the deadline" : "");
   if (this->any_run) {
     refusal.outcome = RunOutcome::kRun;
@@ -284,16 +288,16 @@
     refusal.outcome = RunOutcome::kUnknown;
   }
   // Worth asking again once the last of the missing services may answer.
-  bool any_given_up = false;
-  for (const Part& part : this->parts) {
-    if (part.call.state() == ServiceCall::State::kGivenUp) {
-      any_given_up = true;
+  bool any_failed = false;
+  for (const ServiceProgress& service : this->services) {
+    if (service.call.state() == ServiceCall::State::kFailed) {
+      any_failed = true;
       refusal.retry_after =
           std::max(refusal.retry_after,
-                   part.call.retry_after().value_or(kDefaultRetryAfter));
+                   service.call.retry_after().value_or(kDefaultRetryAfter));
     }
   }
-  if (!any_given_up) {
+  if (!any_failed) {
     refusal.retry_after = kDefaultRetryAfter;
   }
   return refusal;
@@ -304,32 +308,32 @@
   actions.emplace_back(FinishRefusal{std::move(refusal)});
 }
 
-Coverage QueryRun::Answered() const {
+Coverage QueryRun::AnsweredCoverage() const {
   Coverage coverage;
-  for (const Part& part : this->parts) {
-    coverage.units_answered += part.units_answered;
-    coverage.units_total += part.units;
+  for (const ServiceProgress& service : this->services) {
+    coverage.units_answered += service.units_answered;
+    coverage.units_total += service.units;
   }
   return coverage;
 }
 
-Coverage QueryRun::Possible() const {
+Coverage QueryRun::ReachableCoverage() const {
   Coverage coverage;
-  for (const Part& part : this->parts) {
-    const bool open = part.call.state() == ServiceCall::State::kOpen;
-    coverage.units_answered += open ? part.units : part.units_answered;
-    coverage.units_total += part.units;
+  for (const ServiceProgress& service : this->services) {
+    const bool pending = service.call.state() == ServiceCall::State::kPending;
+    coverage.units_answered += pending ? service.units : service.units_answered;
+    coverage.units_total += service.units;
   }
   return coverage;
 }
 
-bool QueryRun::AnyOpen() const {
-  return std::ranges::any_of(this->parts, [](const auto& part) {
-    return part.call.state() == ServiceCall::State::kOpen;
+bool QueryRun::AnyPending() const {
+  return std::ranges::any_of(this->services, [](const auto& service) {
+    return service.call.state() == ServiceCall::State::kPending;
   });
 }
 
-void QueryRun::NoteOutcome(RunOutcome outcome) {
+void QueryRun::RecordOutcome(RunOutcome outcome) {
   this->any_run = this->any_run || outcome == RunOutcome::kRun;
   this->any_unknown = this->any_unknown || outcome == RunOutcome::kUnknown;
 }
--- a/knapweedroad/query/query_run.h
+++ b/knapweedroad/query/query_run.h
@@ -8,7 +8,8 @@
 //   while (auto wake = run.NextWake()) ...Do(run.OnTimer(now));
 //
 // It decides and does no I/O. All of an answer's hits are of one snapshot,
-// which is pinned at the start; a restart on a newer one begins from nothing.
+// which is pinned at the start; a restart on a newer one begins from
+// nothing.
 
 #ifndef KNAPWEEDROAD_QUERY_QUERY_RUN_H_
 #define KNAPWEEDROAD_QUERY_QUERY_RUN_H_
@@ -22,12 +23,12 @@
 #include "knapweedroad/base/snapshot_id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
+#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/query_action.h"
+#include "knapweedroad/query/search_reply.h"
 #include "knapweedroad/query/service_call.h"
 #include "knapweedroad/query/snapshot_choice.h"
-#include "knapweedroad/query/sub_failure.h"
-#include "knapweedroad/query/sub_reply.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -43,7 +44,7 @@
   TimePoint start;
   TimePoint deadline;
   Duration return_margin = kDefaultReturnMargin;
-  SnapshotRule snapshot_rule;
+  SnapshotPolicy snapshot_policy;
   FrontState& state;
   QueryHooks hooks;
 };
@@ -59,9 +60,11 @@
 
   // An attempt that isn't awaited (cancelled, of an earlier restart, unknown)
   // is ignored.
-  QueryActions OnReply(const AttemptId& attempt, SubReply reply, TimePoint now);
+  QueryActions OnReply(const AttemptId& attempt,
+                       SearchReply reply,
+                       TimePoint now);
   QueryActions OnFailure(const AttemptId& attempt,
-                         const SubFailure& failure,
+                         const AttemptFailure& failure,
                          TimePoint now);
 
   // To be called at NextWake(); earlier or later does no harm.
@@ -77,7 +80,7 @@
 
  private:
   // One service of the pinned generation.
-  struct Part {
+  struct ServiceProgress {
     ServiceCall call;
     // From the manifest.
     uint32_t units = 0;
@@ -85,19 +88,19 @@
     uint32_t units_answered = 0;
     std::vector<Hit> hits;
     // A target said that it doesn't hold the pinned snapshot.
-    bool snapshot_lost = false;
+    bool snapshot_missing = false;
   };
 
   CallContext Context();
   CandidatesByService AllCandidates() const;
-  void Pin(const SnapshotId& snapshot);
-  void SendAll(TimePoint now, QueryActions& actions);
+  void PinSnapshot(const SnapshotId& snapshot);
+  void StartServices(TimePoint now, QueryActions& actions);
 
   // Finishes, or restarts on a newer snapshot, if it is time to.
-  void Settle(TimePoint now, QueryActions& actions);
-  bool TailAtRisk(TimePoint now) const;
+  void FinishOrRestart(TimePoint now, QueryActions& actions);
+  bool CanFinishAtTailTarget(TimePoint now) const;
   // It can't be answered any more from the pinned snapshot.
-  bool SnapshotLost(const Part& part) const;
+  bool SnapshotUnavailable(const ServiceProgress& service) const;
   bool TryRestart(TimePoint now, QueryActions& actions);
   void CancelAll(TimePoint now, QueryActions& actions);
   void Finish(TimePoint now, QueryActions& actions);
@@ -105,16 +108,16 @@
   QueryRefusal MakeRefusal(TimePoint now) const;
   void Refuse(QueryRefusal refusal, QueryActions& actions);
 
-  Coverage Answered() const;
+  Coverage AnsweredCoverage() const;
   // What would be answered if all that is open were.
-  Coverage Possible() const;
-  bool AnyOpen() const;
-  void NoteOutcome(RunOutcome outcome);
+  Coverage ReachableCoverage() const;
+  bool AnyPending() const;
+  void RecordOutcome(RunOutcome outcome);
 
   QueryRunOptions options;
   TimePoint answer_by;
-  SnapshotId pinned;
-  std::vector<Part> parts;
+  SnapshotId pinned_snapshot;
+  std::vector<ServiceProgress> services;
   bool is_finished = false;
   bool any_run = false;
   bool any_unknown = false;
--- a/knapweedroad/query/query_test_world.h
+++ b/knapweedroad/query/query_test_fixture.h
@@ -1,8 +1,8 @@
 // Fakes of what a query sees, for the tests of this folder: a front of two
 // services (`s1` with 60 units, `s2` with 40) of two targets each.
 
-#ifndef KNAPWEEDROAD_QUERY_QUERY_TEST_WORLD_H_
-#define KNAPWEEDROAD_QUERY_QUERY_TEST_WORLD_H_
+#ifndef KNAPWEEDROAD_QUERY_QUERY_TEST_FIXTURE_H_
+#define KNAPWEEDROAD_QUERY_QUERY_TEST_FIXTURE_H_
 
 #include <map>
 #include <optional>
@@ -15,8 +15,8 @@
 
 namespace knapweedroad {
 
-inline constexpr SnapshotId kOld{.generation = 1, .index_version = 4};
-inline constexpr SnapshotId kNew{.generation = 1, .index_version = 5};
+inline constexpr SnapshotId kOldSnapshot{.generation = 1, .index_version = 4};
+inline constexpr SnapshotId kNewSnapshot{.generation = 1, .index_version = 5};
 
 inline std::vector<SendAttempt> Sends(const QueryActions& actions) {
   std::vector<SendAttempt> sends;
@@ -56,9 +56,9 @@
   return std::nullopt;
 }
 
-class QueryTestWorld {
+class QueryTestFixture {
  public:
-  QueryTestWorld() {
+  QueryTestFixture() {
     this->front.default_deadline = std::chrono::milliseconds(100);
     this->front.tail_target = std::chrono::milliseconds(50);
     this->front.minimum_coverage = 0.5;
@@ -77,7 +77,7 @@
     this->targets[ServiceId(service)].push_back({.target = TargetId(target),
                                                  .zone = ZoneId(zone),
                                                  .state = TargetState::kReady,
-                                                 .holds = {kOld}});
+                                                 .holds = {kOldSnapshot}});
   }
 
   TargetCandidate& Target(const char* service, size_t index) {
@@ -85,7 +85,7 @@
   }
 
   // Every service answers in about that time from now on.
-  void LearnLatency(std::chrono::milliseconds latency) {
+  void RecordLatencies(std::chrono::milliseconds latency) {
     for (const auto& [service, candidates] : this->targets) {
       for (int sample = 0; sample < 100; ++sample) {
         this->state.latencies.Record(service, ZoneId("here"), latency);
@@ -100,7 +100,7 @@
       return this->targets[service];
     };
     hooks.next_attempt_id = [this] {
-      return AttemptId("attempt-" + std::to_string(++this->attempts));
+      return AttemptId("attempt-" + std::to_string(++this->attempt_count));
     };
     hooks.random = [this] { return this->random(); };
     return hooks;
@@ -122,7 +122,7 @@
   }
 
   // A reply with one hit of that id, and of all units of its service.
-  SubReply Reply(const char* hit, SnapshotId snapshot = kOld) const {
+  SearchReply Reply(const char* hit, SnapshotId snapshot = kOldSnapshot) const {
     return {.snapshot = snapshot, .units = 100, .hits = {{hit, 0.5}}};
   }
 
@@ -130,9 +130,9 @@
   FrontState state{FrontConfig{}};
   std::map<ServiceId, std::vector<TargetCandidate>> targets;
   std::mt19937_64 random{7};
-  int attempts = 0;
+  int attempt_count = 0;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_QUERY_QUERY_TEST_WORLD_H_
+#endif  // KNAPWEEDROAD_QUERY_QUERY_TEST_FIXTURE_H_
--- a/knapweedroad/query/record_run.cc
+++ b/knapweedroad/query/record_run.cc
@@ -25,7 +25,7 @@
                               RecordReply reply,
                               TimePoint now) {
   RecordStep step;
-  if (const auto taken = this->call.Take(attempt)) {
+  if (const auto taken = this->call.TakeAttempt(attempt)) {
     this->call.OnAnswered(this->Context(), *taken, now, step.actions);
     this->is_finished = true;
     step.result = std::move(reply);
@@ -34,14 +34,15 @@
 }
 
 RecordStep RecordRun::OnFailure(const AttemptId& attempt,
-                                const SubFailure& failure,
+                                const AttemptFailure& failure,
                                 TimePoint now) {
   RecordStep step;
-  if (const auto taken = this->call.Take(attempt)) {
+  if (const auto taken = this->call.TakeAttempt(attempt)) {
     this->any_run = this->any_run || failure.outcome == RunOutcome::kRun;
     this->any_unknown =
         this->any_unknown || failure.outcome == RunOutcome::kUnknown;
-    this->any_broken = this->any_broken || failure.kind == FailureKind::kBroken;
+    this->any_broken =
+        this->any_broken || failure.kind == FailureKind::kInvalidReply;
     this->call.OnFailed(this->Context(), *taken, failure, now, step.actions);
     this->Settle(now, step);
   }
@@ -61,7 +62,7 @@
 RecordStep RecordRun::Abandon(TimePoint now) {
   RecordStep step;
   if (!this->is_finished) {
-    this->call.CancelLive(this->Context(), now, step.actions);
+    this->call.CancelInFlight(this->Context(), now, step.actions);
     this->is_finished = true;
   }
   return step;
@@ -85,12 +86,12 @@
 }
 
 void RecordRun::Settle(TimePoint now, RecordStep& step) {
-  const bool given_up = this->call.state() == ServiceCall::State::kGivenUp;
+  const bool given_up = this->call.state() == ServiceCall::State::kFailed;
   if (this->is_finished || (now < this->answer_by && !given_up)) {
     return;
   }
-  this->any_unknown = this->any_unknown || this->call.has_live();
-  this->call.CancelLive(this->Context(), now, step.actions);
+  this->any_unknown = this->any_unknown || this->call.has_in_flight();
+  this->call.CancelInFlight(this->Context(), now, step.actions);
   this->is_finished = true;
   step.result = this->MakeRefusal(now);
 }
--- a/knapweedroad/query/record_run.h
+++ b/knapweedroad/query/record_run.h
@@ -14,11 +14,11 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
+#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/query_action.h"
 #include "knapweedroad/query/record_reply.h"
 #include "knapweedroad/query/service_call.h"
-#include "knapweedroad/query/sub_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -55,7 +55,7 @@
                      RecordReply reply,
                      TimePoint now);
   RecordStep OnFailure(const AttemptId& attempt,
-                       const SubFailure& failure,
+                       const AttemptFailure& failure,
                        TimePoint now);
   RecordStep OnTimer(TimePoint now);
   RecordStep Abandon(TimePoint now);
--- a/knapweedroad/query/record_run_test.cc
+++ b/knapweedroad/query/record_run_test.cc
@@ -5,20 +5,20 @@
 #include <criterion/criterion.h>
 
 #include "knapweedroad/query/lookup_run.h"
-#include "knapweedroad/query/query_test_world.h"
+#include "knapweedroad/query/query_test_fixture.h"
 
 namespace knapweedroad {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr SubFailure kShedFailure{.outcome = RunOutcome::kNotRun,
-                                  .kind = FailureKind::kShed,
-                                  .retry_after = milliseconds(300)};
-constexpr SubFailure kLostFailure{.outcome = RunOutcome::kUnknown,
-                                  .kind = FailureKind::kConnection};
+constexpr AttemptFailure kShedFailure{.outcome = RunOutcome::kNotRun,
+                                      .kind = FailureKind::kShed,
+                                      .retry_after = milliseconds(300)};
+constexpr AttemptFailure kLostFailure{.outcome = RunOutcome::kUnknown,
+                                      .kind = FailureKind::kConnection};
 
-RecordRun MakeRecordRun(QueryTestWorld& world) {
+RecordRun MakeRecordRun(QueryTestFixture& world) {
   return RecordRun({.front = world.front,
                     .service = ServiceId("s1"),
                     .own_zone = ZoneId("here"),
@@ -28,7 +28,7 @@
                     .hooks = world.Hooks()});
 }
 
-LookupRun MakeLookupRun(QueryTestWorld& world) {
+LookupRun MakeLookupRun(QueryTestFixture& world) {
   return LookupRun({.front = world.front,
                     .service = ServiceId("s1"),
                     .own_zone = ZoneId("here"),
@@ -42,8 +42,8 @@
 }
 
 Test(RecordRun, IsHedgedAndTheFirstAnswerWins) {
-  QueryTestWorld world;
-  world.LearnLatency(milliseconds(10));
+  QueryTestFixture world;
+  world.RecordLatencies(milliseconds(10));
   auto run = MakeRecordRun(world);
   const auto first = Sends(run.Start(world.At(0)).actions);
   const auto hedge = Sends(run.OnTimer(*run.NextWake()).actions);
@@ -55,7 +55,7 @@
 }
 
 Test(RecordRun, RefusesAtOnceWhenAllReplicasHave) {
-  QueryTestWorld world;
+  QueryTestFixture world;
   auto run = MakeRecordRun(world);
   const auto first = Sends(run.Start(world.At(0)).actions);
   const auto second =
@@ -67,7 +67,7 @@
 }
 
 Test(RecordRun, AnAttemptCutOffByTheDeadlineMayHaveRun) {
-  QueryTestWorld world;
+  QueryTestFixture world;
   auto run = MakeRecordRun(world);
   run.Start(world.At(0));
   const auto last = run.OnTimer(*run.NextWake());
@@ -78,8 +78,8 @@
 
 Test(LookupRun, IsNeverHedged) {
   // Two correction letters: a slow lookup is sent to a second searcher too.
-  QueryTestWorld world;
-  world.LearnLatency(milliseconds(10));
+  QueryTestFixture world;
+  world.RecordLatencies(milliseconds(10));
   auto run = MakeLookupRun(world);
   run.Start(world.At(0));
   cr_assert(run.OnTimer(world.At(50)).actions.empty());
@@ -89,7 +89,7 @@
 Test(LookupRun, IsSentAgainOnlyAfterProofThatItDidNotRun) {
   // Two correction letters: the target ran the lookup, its answer was lost
   // with the connection, and the tier sends it to another one.
-  QueryTestWorld world;
+  QueryTestFixture world;
   auto run = MakeLookupRun(world);
   const auto first = Sends(run.Start(world.At(0)).actions);
   const auto second =
@@ -102,7 +102,7 @@
 
 Test(LookupRun, AfterTheDeadlineItsOutcomeIsUnknown) {
   // A caller is told "not run" for a lookup whose cancel came too late.
-  QueryTestWorld world;
+  QueryTestFixture world;
   auto run = MakeLookupRun(world);
   run.Start(world.At(0));
   const auto last = run.OnTimer(world.At(90));
@@ -110,7 +110,7 @@
 }
 
 Test(LookupRun, WhatComesLateOfAnEarlierAttemptIsIgnored) {
-  QueryTestWorld world;
+  QueryTestFixture world;
   auto run = MakeLookupRun(world);
   const auto first = Sends(run.Start(world.At(0)).actions);
   run.OnFailure(first[0].attempt, kShedFailure, world.At(1));
@@ -121,7 +121,7 @@
 }
 
 Test(LookupRun, RefusedByAllItDidNotRun) {
-  QueryTestWorld world;
+  QueryTestFixture world;
   world.targets[ServiceId("s1")].pop_back();
   auto run = MakeLookupRun(world);
   const auto first = Sends(run.Start(world.At(0)).actions);
--- a/knapweedroad/query/replica_choice.cc
+++ b/knapweedroad/query/replica_choice.cc
@@ -8,68 +8,71 @@
 namespace {
 
 // Lower is better.
-enum class Tier : uint8_t { kWarm, kFreeCold, kBusyCold };
+enum class ReplicaTier : uint8_t { kWarm, kFreeCold, kBusyCold };
 
 // A view of loads that is some requests old can't tell a difference of one.
-constexpr uint32_t kEqualLoads = 1;
+constexpr uint32_t kMaxEqualLoadDifference = 1;
 
 uint32_t Load(const TargetCandidate& candidate) {
   return candidate.in_flight + candidate.queued;
 }
 
-Tier TierOf(const TargetCandidate& candidate, const ReplicaRequest& request) {
+ReplicaTier TierOf(const TargetCandidate& candidate,
+                   const ReplicaChoiceOptions& options) {
   if (candidate.state == TargetState::kCold) {
-    const bool room = Load(candidate) < request.cold_slots;
-    return room ? Tier::kFreeCold : Tier::kBusyCold;
+    const bool has_room = Load(candidate) < options.cold_slots;
+    return has_room ? ReplicaTier::kFreeCold : ReplicaTier::kBusyCold;
   }
-  return Tier::kWarm;
+  return ReplicaTier::kWarm;
 }
 
 bool HasFreeWarmSlot(const TargetCandidate& candidate,
-                     const ReplicaRequest& request) {
+                     const ReplicaChoiceOptions& options) {
   return candidate.state != TargetState::kCold &&
-         Load(candidate) < request.slots;
+         Load(candidate) < options.slots;
 }
 
-bool Excluded(const TargetCandidate& candidate, const ReplicaRequest& request) {
-  return std::ranges::find(request.excluded, candidate.target) !=
-         request.excluded.end();
+bool IsExcluded(const TargetCandidate& candidate,
+                const ReplicaChoiceOptions& options) {
+  return std::ranges::find(options.excluded, candidate.target) !=
+         options.excluded.end();
 }
 
 // The better of two picked at random: all hosts would else pick the target that
 // was the least loaded a while ago. The own zone only decides between two that
 // are about as busy, as zones differ in hosts.
 const TargetCandidate* BetterOfTwo(
-    const std::vector<const TargetCandidate*>& equals,
-    const ReplicaRequest& request) {
-  if (equals.size() == 1) {
-    return equals.front();
+    const std::vector<const TargetCandidate*>& eligible,
+    const ReplicaChoiceOptions& options) {
+  if (eligible.size() == 1) {
+    return eligible.front();
   }
-  const size_t first = request.random() % equals.size();
-  const size_t step = 1 + request.random() % (equals.size() - 1);
-  const TargetCandidate* one = equals[first];
-  const TargetCandidate* other = equals[(first + step) % equals.size()];
+  const size_t first_index = options.random() % eligible.size();
+  const size_t step = 1 + options.random() % (eligible.size() - 1);
+  const TargetCandidate* one = eligible[first_index];
+  const TargetCandidate* other =
+      eligible[(first_index + step) % eligible.size()];
   if (Load(*other) < Load(*one)) {
     std::swap(one, other);
   }
-  const bool about_equal = Load(*other) - Load(*one) <= kEqualLoads;
-  const bool nearer =
-      other->zone == request.own_zone && one->zone != request.own_zone;
-  return about_equal && nearer ? other : one;
+  const bool about_equal = Load(*other) - Load(*one) <= kMaxEqualLoadDifference;
+  const bool only_other_in_own_zone =
+      other->zone == options.own_zone && one->zone != options.own_zone;
+  return about_equal && only_other_in_own_zone ? other : one;
 }
 
-// One in so many first choices goes to a cold target that has room: without any
-// work it stays cold, and the service has one replica less to lose.
-constexpr uint64_t kWarmingOneIn = 8;
+// One in so many first choices goes to a cold target that has room:
+// without any work it stays cold, and the service has one replica less to lose.
+constexpr uint64_t kChoicesPerWarmUp = 8;
 
-bool ShouldWarm(const ReplicaRequest& request) {
-  return !request.free_slot_only && request.random() % kWarmingOneIn == 0;
+bool ShouldWarmUp(const ReplicaChoiceOptions& options) {
+  return !options.free_slot_only && options.random() % kChoicesPerWarmUp == 0;
 }
 
 }  // namespace
 
-const ServiceConfig& FindService(const FrontConfig& front,
-                                 const ServiceId& service) {
+const ServiceConfig& ServiceConfigOrDefault(const FrontConfig& front,
+                                            const ServiceId& service) {
   static const ServiceConfig unknown{.slots = 1};
   const auto found =
       std::ranges::find(front.services, service, &ServiceConfig::name);
@@ -87,37 +90,38 @@
 
 std::optional<TargetCandidate> ChooseReplica(
     std::span<const TargetCandidate> candidates,
-    const ReplicaRequest& request) {
-  std::vector<const TargetCandidate*> best;
+    const ReplicaChoiceOptions& options) {
+  std::vector<const TargetCandidate*> preferred;
   std::vector<const TargetCandidate*> free_cold;
-  Tier best_tier = Tier::kBusyCold;
+  ReplicaTier preferred_tier = ReplicaTier::kBusyCold;
   for (const TargetCandidate& candidate : candidates) {
-    if (!CanServe(candidate, request.snapshot) ||
-        Excluded(candidate, request)) {
+    if (!CanServe(candidate, options.snapshot) ||
+        IsExcluded(candidate, options)) {
       continue;
     }
-    const Tier tier = TierOf(candidate, request);
-    if (request.free_slot_only && !HasFreeWarmSlot(candidate, request)) {
+    const ReplicaTier tier = TierOf(candidate, options);
+    if (options.free_slot_only && !HasFreeWarmSlot(candidate, options)) {
       continue;
     }
-    if (tier == Tier::kFreeCold) {
+    if (tier == ReplicaTier::kFreeCold) {
       free_cold.push_back(&candidate);
     }
-    if (tier < best_tier) {
-      best.clear();
-      best_tier = tier;
+    if (tier < preferred_tier) {
+      preferred.clear();
+      preferred_tier = tier;
     }
-    if (tier == best_tier) {
-      best.push_back(&candidate);
+    if (tier == preferred_tier) {
+      preferred.push_back(&candidate);
     }
   }
-  if (best.empty()) {
+  if (preferred.empty()) {
     return std::nullopt;
   }
-  if (best_tier == Tier::kWarm && !free_cold.empty() && ShouldWarm(request)) {
-    return *BetterOfTwo(free_cold, request);
+  if (preferred_tier == ReplicaTier::kWarm && !free_cold.empty() &&
+      ShouldWarmUp(options)) {
+    return *BetterOfTwo(free_cold, options);
   }
-  return *BetterOfTwo(best, request);
+  return *BetterOfTwo(preferred, options);
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/query/replica_choice.h
+++ b/knapweedroad/query/replica_choice.h
@@ -21,7 +21,7 @@
 
 namespace knapweedroad {
 
-struct ReplicaRequest {
+struct ReplicaChoiceOptions {
   const ZoneId& own_zone;
   // Only targets that hold it; any target where absent.
   std::optional<SnapshotId> snapshot;
@@ -37,15 +37,16 @@
 };
 
 // Never one that is leaving or not usable. While there is a warm one, a cold
-// one gets one in eight choices, and only while it has room. The less loaded of
-// two picked at random; of two that are about as busy the one in the own zone.
+// one gets one in eight choices, and only while it has has_room. The less
+// loaded of two picked at random; of two that are about as busy the one in the
+// own zone.
 std::optional<TargetCandidate> ChooseReplica(
     std::span<const TargetCandidate> candidates,
-    const ReplicaRequest& request);
+    const ReplicaChoiceOptions& options);
 
 // The service's settings; those of an unknown one allow one request at once.
-const ServiceConfig& FindService(const FrontConfig& front,
-                                 const ServiceId& service);
+const ServiceConfig& ServiceConfigOrDefault(const FrontConfig& front,
+                                            const ServiceId& service);
 
 // Whether it may get new work and holds the snapshot.
 bool CanServe(const TargetCandidate& candidate,
--- a/knapweedroad/query/sub_reply.h
+++ b/knapweedroad/query/search_reply.h
@@ -1,7 +1,7 @@
 // What one target answered to one sub-request.
 
-#ifndef KNAPWEEDROAD_QUERY_SUB_REPLY_H_
-#define KNAPWEEDROAD_QUERY_SUB_REPLY_H_
+#ifndef KNAPWEEDROAD_QUERY_SEARCH_REPLY_H_
+#define KNAPWEEDROAD_QUERY_SEARCH_REPLY_H_
 
 #include <cstdint>
 #include <string>
@@ -18,7 +18,7 @@
   friend bool operator==(const Hit&, const Hit&) = default;
 };
 
-struct SubReply {
+struct SearchReply {
   // As the target echoed it, not as it was asked for.
   SnapshotId snapshot;
   // Units of the index that the target says it searched.
@@ -28,4 +28,4 @@
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_QUERY_SUB_REPLY_H_
+#endif  // KNAPWEEDROAD_QUERY_SEARCH_REPLY_H_
--- a/knapweedroad/query/service_call.cc
+++ b/knapweedroad/query/service_call.cc
@@ -10,35 +10,36 @@
 namespace knapweedroad {
 namespace {
 
-constexpr uint32_t kMaxRounds = 3;
+constexpr uint32_t kMaxFailedRounds = 3;
 constexpr double kMedian = 0.5;
-constexpr int kSlowMedians = 3;
+constexpr int kHedgeDelayMedians = 3;
 // A hedge straggles as often as a first try.
 constexpr size_t kMaxHedges = 2;
 // Between two tries to get a hedge that had no budget or no free slot, at
 // least, and before a target is asked again.
-constexpr Duration kShortestHedgeWait = std::chrono::milliseconds(1);
-constexpr Duration kShortestRetryWait = std::chrono::milliseconds(1);
+constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(1);
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(1);
 
 // When a request to that zone counts as slow. After a start there are too few
 // samples for a high quantile, but soon enough for a median.
-std::optional<Duration> SlowAfter(const CallContext& context,
-                                  const ServiceId& service,
-                                  const ZoneId& zone) {
-  const LatencyBook& latencies = context.state.latencies;
+std::optional<Duration> HedgeDelay(const CallContext& context,
+                                   const ServiceId& service,
+                                   const ZoneId& zone) {
+  const LatencyTracker& latencies = context.state.latencies;
   const auto slow =
       latencies.Quantile(service, zone, context.front.hedge_quantile);
   if (slow) {
-    return std::max(*slow, kShortestHedgeWait);
+    return std::max(*slow, kMinHedgeDelay);
   }
   const auto median = latencies.Quantile(service, zone, kMedian);
   if (median) {
-    return std::max(*median * kSlowMedians, kShortestHedgeWait);
+    return std::max(*median * kHedgeDelayMedians, kMinHedgeDelay);
   }
   return std::nullopt;
 }
 
-bool IsRefusedHedge(const LiveAttempt& attempt, const SubFailure& failure) {
+bool IsRefusedHedge(const InFlightAttempt& attempt,
+                    const AttemptFailure& failure) {
   return attempt.purpose == AttemptPurpose::kHedge &&
          failure.outcome == RunOutcome::kNotRun;
 }
@@ -53,88 +54,91 @@
                         TimePoint now,
                         QueryActions& actions) {
   if (!this->TrySend(context, AttemptPurpose::kFirst, now, actions)) {
-    this->GiveUp();
+    this->Fail();
   }
 }
 
-std::optional<LiveAttempt> ServiceCall::Take(const AttemptId& attempt) {
-  const auto found = std::ranges::find(this->live, attempt, &LiveAttempt::id);
-  if (found == this->live.end()) {
+std::optional<InFlightAttempt> ServiceCall::TakeAttempt(
+    const AttemptId& attempt) {
+  const auto found =
+      std::ranges::find(this->in_flight, attempt, &InFlightAttempt::id);
+  if (found == this->in_flight.end()) {
     return std::nullopt;
   }
-  LiveAttempt taken = std::move(*found);
-  this->live.erase(found);
+  InFlightAttempt taken = std::move(*found);
+  this->in_flight.erase(found);
   return taken;
 }
 
 void ServiceCall::OnAnswered(const CallContext& context,
-                             const LiveAttempt& attempt,
+                             const InFlightAttempt& attempt,
                              TimePoint now,
                              QueryActions& actions) {
   context.state.RecordLatency(this->service_id, attempt.zone,
                               now - attempt.sent);
   this->call_state = State::kAnswered;
-  this->CancelLive(context, now, actions);
+  this->CancelInFlight(context, now, actions);
 }
 
 void ServiceCall::OnFailed(const CallContext& context,
-                           const LiveAttempt& attempt,
-                           const SubFailure& failure,
+                           const InFlightAttempt& attempt,
+                           const AttemptFailure& failure,
                            TimePoint now,
                            QueryActions& actions) {
-  this->NoteRefusal(context, attempt, failure);
+  this->RecordRefusal(context, attempt, failure);
   if (failure.retry_after) {
-    this->shortest_wait = std::min(
-        *failure.retry_after, this->shortest_wait.value_or(Duration::max()));
+    this->shortest_retry_after =
+        std::min(*failure.retry_after,
+                 this->shortest_retry_after.value_or(Duration::max()));
   }
-  if (!this->live.empty()) {
+  if (!this->in_flight.empty()) {
     if (IsRefusedHedge(attempt, failure)) {
       // Its slot was gone when it came: another target at once, and the same
       // one again only by the timer, or refused hedges would chase each other.
-      this->full_for_hedges.push_back(attempt.target);
+      this->refused_hedge_targets.push_back(attempt.target);
       this->TryHedge(context, now, actions);
     }
     return;
   }
   this->hedge_at.reset();
-  const Duration typical = TypicalLatency(context, this->service_id);
-  if (now + typical >= context.answer_by) {
-    this->GiveUp();
+  const Duration median_latency = MedianLatency(context, this->service_id);
+  if (now + median_latency >= context.answer_by) {
+    this->Fail();
     return;
   }
-  this->AskFullOnesAgain();
-  if (this->TryAnotherTarget(context, failure.outcome, now, actions)) {
+  this->AllowRefusedHedgeTargets();
+  if (this->RetryOnAnotherTarget(context, failure.outcome, now, actions)) {
     return;
   }
   // An open connection may have gone silent while its target is well: where
   // there is no other, the same target is asked once more.
-  if (failure.kind == FailureKind::kConnection && !this->asked_again) {
-    this->asked_again = true;
-    this->retry_at = now + kShortestRetryWait;
+  if (failure.kind == FailureKind::kConnection && !this->retried_same_target) {
+    this->retried_same_target = true;
+    this->retry_at = now + kMinRetryDelay;
     return;
   }
-  this->WaitOrGiveUp(context, now);
+  this->ScheduleRetryOrFail(context, now);
 }
 
-void ServiceCall::NoteRefusal(const CallContext& context,
-                              const LiveAttempt& attempt,
-                              const SubFailure& failure) {
+void ServiceCall::RecordRefusal(const CallContext& context,
+                                const InFlightAttempt& attempt,
+                                const AttemptFailure& failure) {
   // A hedge that met no free slot cost nothing, and isn't a sign of overload.
   if (IsRefusedHedge(attempt, failure)) {
-    context.state.hedges.GiveBack();
+    context.state.hedges.Refund();
     context.stats.hedges -= 1;
     return;
   }
-  const bool no_room = failure.kind == FailureKind::kRefusedQueue ||
-                       failure.kind == FailureKind::kShed;
-  context.stats.refused += no_room ? 1 : 0;
+  const bool at_capacity = failure.kind == FailureKind::kRefusedByHolder ||
+                           failure.kind == FailureKind::kShed;
+  context.stats.refused += at_capacity ? 1 : 0;
 }
 
 void ServiceCall::OnTimer(const CallContext& context,
                           TimePoint now,
                           QueryActions& actions) {
   if (this->hedge_at && now >= *this->hedge_at) {
-    this->AskFullOnesAgain();
+    this->AllowRefusedHedgeTargets();
     this->TryHedge(context, now, actions);
   }
   if (this->retry_at && now >= *this->retry_at) {
@@ -142,20 +146,21 @@
   }
 }
 
-void ServiceCall::CancelLive(const CallContext& context,
-                             TimePoint now,
-                             QueryActions& actions) {
-  for (const LiveAttempt& attempt : this->live) {
+void ServiceCall::CancelInFlight(const CallContext& context,
+                                 TimePoint now,
+                                 QueryActions& actions) {
+  for (const InFlightAttempt& attempt : this->in_flight) {
     actions.emplace_back(CancelAttempt{attempt.id, attempt.target});
     // It took at least this long. Left out, stragglers that lose to a hedge
     // would vanish from the quantile, which would sink and cause more hedges.
-    const auto slow = SlowAfter(context, this->service_id, attempt.zone);
-    if (slow && now - attempt.sent >= *slow) {
+    const auto hedge_delay =
+        HedgeDelay(context, this->service_id, attempt.zone);
+    if (hedge_delay && now - attempt.sent >= *hedge_delay) {
       context.state.RecordLatency(this->service_id, attempt.zone,
                                   now - attempt.sent);
     }
   }
-  this->live.clear();
+  this->in_flight.clear();
   this->hedge_at.reset();
   this->retry_at.reset();
 }
@@ -169,7 +174,8 @@
                           TimePoint now,
                           QueryActions& actions) {
   const auto candidates = context.hooks.candidates(this->service_id);
-  const ServiceConfig& config = FindService(context.front, this->service_id);
+  const ServiceConfig& config =
+      ServiceConfigOrDefault(context.front, this->service_id);
   const auto choice = ChooseReplica(
       candidates, {.own_zone = context.own_zone,
                    .snapshot = this->snapshot,
@@ -181,11 +187,11 @@
   if (!choice) {
     return false;
   }
-  LiveAttempt attempt{.id = context.hooks.next_attempt_id(),
-                      .target = choice->target,
-                      .zone = choice->zone,
-                      .purpose = purpose,
-                      .sent = now};
+  InFlightAttempt attempt{.id = context.hooks.next_attempt_id(),
+                          .target = choice->target,
+                          .zone = choice->zone,
+                          .purpose = purpose,
+                          .sent = now};
   actions.emplace_back(
       SendAttempt{.attempt = attempt.id,
                   .service = this->service_id,
@@ -194,25 +200,25 @@
                   .deadline = context.answer_by,
                   .purpose = purpose});
   this->tried.push_back(attempt.target);
-  this->live.push_back(std::move(attempt));
+  this->in_flight.push_back(std::move(attempt));
   this->retry_at.reset();
   if (purpose == AttemptPurpose::kFirst) {
-    context.stats.first_tries += 1;
-    context.state.hedges.OnFirstTry();
-    context.state.retries.OnFirstTry();
+    context.stats.first_attempts += 1;
+    context.state.hedges.OnFirstAttempt();
+    context.state.retries.OnFirstAttempt();
   }
   if (purpose != AttemptPurpose::kHedge) {
-    this->PlanHedge(context, now);
+    this->ScheduleHedge(context, now);
   }
   return true;
 }
 
-void ServiceCall::PlanHedge(const CallContext& context, TimePoint now) {
-  const auto slow =
-      SlowAfter(context, this->service_id, this->live.back().zone);
+void ServiceCall::ScheduleHedge(const CallContext& context, TimePoint now) {
+  const auto hedge_delay =
+      HedgeDelay(context, this->service_id, this->in_flight.back().zone);
   this->hedge_at.reset();
-  if (slow) {
-    this->hedge_at = now + *slow;
+  if (hedge_delay) {
+    this->hedge_at = now + *hedge_delay;
   }
 }
 
@@ -220,26 +226,26 @@
                            TimePoint now,
                            QueryActions& actions) {
   this->hedge_at.reset();
-  const Duration typical = TypicalLatency(context, this->service_id);
-  if (now + typical >= context.answer_by) {
+  const Duration median_latency = MedianLatency(context, this->service_id);
+  if (now + median_latency >= context.answer_by) {
     return;
   }
   // Half of the budget is kept for attempts that are far over, so that those
   // that are merely slower than most don't use it up.
-  const LiveAttempt& slow = this->live.front();
-  const auto expected = SlowAfter(context, this->service_id, slow.zone);
-  const bool urgent = expected && now - slow.sent >= *expected * 3 / 2;
+  const InFlightAttempt& oldest = this->in_flight.front();
+  const auto hedge_delay = HedgeDelay(context, this->service_id, oldest.zone);
+  const bool urgent = hedge_delay && now - oldest.sent >= *hedge_delay * 3 / 2;
   TokenBudget& budget = context.state.hedges;
   if (budget.CanTake(urgent) &&
       this->TrySend(context, AttemptPurpose::kHedge, now, actions)) {
-    budget.Take();
+    budget.TryTake();
     context.stats.hedges += 1;
-    if (this->live.size() <= kMaxHedges && expected) {
-      this->hedge_at = now + *expected;
+    if (this->in_flight.size() <= kMaxHedges && hedge_delay) {
+      this->hedge_at = now + *hedge_delay;
     }
     return;
   }
-  this->hedge_at = now + std::max(typical / 4, kShortestHedgeWait);
+  this->hedge_at = now + std::max(median_latency / 4, kMinHedgeDelay);
 }
 
 void ServiceCall::TryRetry(const CallContext& context,
@@ -250,65 +256,67 @@
   TokenBudget& budget = context.state.retries;
   if (budget.CanTake() &&
       this->TrySend(context, AttemptPurpose::kRetry, now, actions)) {
-    budget.Take();
+    budget.TryTake();
     context.stats.retries += 1;
     return;
   }
-  this->WaitOrGiveUp(context, now);
+  this->ScheduleRetryOrFail(context, now);
 }
 
-void ServiceCall::AskFullOnesAgain() {
-  for (const TargetId& target : this->full_for_hedges) {
+void ServiceCall::AllowRefusedHedgeTargets() {
+  for (const TargetId& target : this->refused_hedge_targets) {
     std::erase(this->tried, target);
   }
-  this->full_for_hedges.clear();
+  this->refused_hedge_targets.clear();
 }
 
-bool ServiceCall::TryAnotherTarget(const CallContext& context,
-                                   RunOutcome outcome,
-                                   TimePoint now,
-                                   QueryActions& actions) {
+bool ServiceCall::RetryOnAnotherTarget(const CallContext& context,
+                                       RunOutcome outcome,
+                                       TimePoint now,
+                                       QueryActions& actions) {
   TokenBudget& budget = context.state.retries;
   // Nothing ran, so asking another target adds no load on any. Each is asked
   // once a round: refusals by all of them don't become a loop.
-  const bool is_free = outcome == RunOutcome::kNotRun;
-  if (!is_free && !budget.CanTake()) {
+  const bool budget_exempt = outcome == RunOutcome::kNotRun;
+  if (!budget_exempt && !budget.CanTake()) {
     return false;
   }
   if (!this->TrySend(context, AttemptPurpose::kRetry, now, actions)) {
     return false;
   }
-  if (!is_free) {
-    budget.Take();
+  if (!budget_exempt) {
+    budget.TryTake();
   }
   context.stats.retries += 1;
   return true;
 }
 
-void ServiceCall::WaitOrGiveUp(const CallContext& context, TimePoint now) {
-  this->rounds += 1;
-  const bool hopeless = !this->shortest_wait || this->rounds >= kMaxRounds ||
-                        context.state.retries.suspended();
-  if (hopeless) {
-    this->GiveUp();
+void ServiceCall::ScheduleRetryOrFail(const CallContext& context,
+                                      TimePoint now) {
+  this->failed_rounds += 1;
+  const bool cannot_retry = !this->shortest_retry_after ||
+                            this->failed_rounds >= kMaxFailedRounds ||
+                            context.state.retries.suspended();
+  if (cannot_retry) {
+    this->Fail();
     return;
   }
-  const Duration wait = std::max(*this->shortest_wait, kShortestRetryWait);
-  const Duration typical = TypicalLatency(context, this->service_id);
-  if (now + wait + typical >= context.answer_by) {
-    this->GiveUp();
+  const Duration wait = std::max(*this->shortest_retry_after, kMinRetryDelay);
+  const Duration median_latency = MedianLatency(context, this->service_id);
+  if (now + wait + median_latency >= context.answer_by) {
+    this->Fail();
     return;
   }
   this->retry_at = now + wait;
 }
 
-void ServiceCall::GiveUp() {
-  this->call_state = State::kGivenUp;
+void ServiceCall::Fail() {
+  this->call_state = State::kFailed;
   this->hedge_at.reset();
   this->retry_at.reset();
 }
 
-Duration TypicalLatency(const CallContext& context, const ServiceId& service) {
+Duration MedianLatency(const CallContext& context, const ServiceId& service) {
   return context.state.latencies.Quantile(service, context.own_zone, kMedian)
       .value_or(Duration::zero());
 }
--- a/knapweedroad/query/snapshot_choice.cc
+++ b/knapweedroad/query/snapshot_choice.cc
@@ -8,10 +8,10 @@
 namespace knapweedroad {
 namespace {
 
-struct Support {
+struct SnapshotAvailability {
   Coverage reachable;
   // Whether enough targets of each service that can answer hold it.
-  bool enough_replicas = true;
+  bool enough_holders = true;
 };
 
 bool EnoughHolders(const std::vector<TargetCandidate>& targets,
@@ -40,35 +40,35 @@
   return false;
 }
 
-Support SupportOf(const GenerationConfig& generation,
-                  const CandidatesByService& candidates,
-                  const SnapshotId& snapshot,
-                  const SnapshotRule& rule) {
-  Support support;
-  support.reachable.units_total = TotalUnits(generation);
+SnapshotAvailability AvailabilityOf(const GenerationConfig& generation,
+                                    const CandidatesByService& candidates,
+                                    const SnapshotId& snapshot,
+                                    const SnapshotPolicy& policy) {
+  SnapshotAvailability availability;
+  availability.reachable.units_total = TotalUnits(generation);
   for (const auto& [service, units] : generation.units) {
     const auto targets = candidates.find(service);
     if (targets == candidates.end() || !AnyHolder(targets->second, snapshot)) {
       continue;
     }
-    support.reachable.units_answered += units;
-    if (!EnoughHolders(targets->second, snapshot, rule.enough_replicas)) {
-      support.enough_replicas = false;
+    availability.reachable.units_answered += units;
+    if (!EnoughHolders(targets->second, snapshot, policy.min_holder_share)) {
+      availability.enough_holders = false;
     }
   }
-  return support;
+  return availability;
 }
 
 // Newest first.
-std::set<SnapshotId, std::greater<>> Offered(
+std::set<SnapshotId, std::greater<>> HeldSnapshots(
     const CandidatesByService& candidates) {
-  std::set<SnapshotId, std::greater<>> offered;
+  std::set<SnapshotId, std::greater<>> held;
   for (const auto& [service, targets] : candidates) {
     for (const TargetCandidate& target : targets) {
-      offered.insert(target.holds.begin(), target.holds.end());
+      held.insert(target.holds.begin(), target.holds.end());
     }
   }
-  return offered;
+  return held;
 }
 
 }  // namespace
@@ -76,11 +76,11 @@
 std::optional<SnapshotChoice> ChooseSnapshot(
     const FrontConfig& front,
     const CandidatesByService& candidates,
-    const SnapshotRule& rule,
+    const SnapshotPolicy& policy,
     std::optional<SnapshotId> newer_than) {
-  std::optional<SnapshotChoice> enough;
-  std::optional<SnapshotChoice> most;
-  for (const SnapshotId& snapshot : Offered(candidates)) {
+  std::optional<SnapshotChoice> sufficient;
+  std::optional<SnapshotChoice> widest;
+  for (const SnapshotId& snapshot : HeldSnapshots(candidates)) {
     if (newer_than && snapshot <= *newer_than) {
       break;
     }
@@ -88,22 +88,23 @@
     if (generation == nullptr) {
       continue;
     }
-    const Support support = SupportOf(*generation, candidates, snapshot, rule);
-    if (support.reachable.units_answered == 0) {
+    const SnapshotAvailability availability =
+        AvailabilityOf(*generation, candidates, snapshot, policy);
+    if (availability.reachable.units_answered == 0) {
       continue;
     }
-    const SnapshotChoice choice{snapshot, support.reachable};
-    if (support.reachable.Reaches(rule.enough_coverage)) {
-      if (support.enough_replicas) {
+    const SnapshotChoice choice{snapshot, availability.reachable};
+    if (availability.reachable.Reaches(policy.sufficient_coverage)) {
+      if (availability.enough_holders) {
         return choice;
       }
-      enough = enough ? enough : choice;
+      sufficient = sufficient ? sufficient : choice;
     }
-    if (!most || CoversMore(support.reachable, most->reachable)) {
-      most = choice;
+    if (!widest || CoversMore(availability.reachable, widest->reachable)) {
+      widest = choice;
     }
   }
-  return enough ? enough : most;
+  return sufficient ? sufficient : widest;
 }
 
 const GenerationConfig* FindGeneration(const FrontConfig& front,
--- a/knapweedroad/query/snapshot_choice.h
+++ b/knapweedroad/query/snapshot_choice.h
@@ -21,13 +21,13 @@
 // A query takes the newest snapshot that can be had with enough coverage,
 // from enough replicas; where there is none, the newest with enough coverage;
 // where there is none, the one with the most coverage, the newest of equals.
-struct SnapshotRule {
+struct SnapshotPolicy {
   // Coverage (0 to 1) that is enough to take a newer snapshot. At 1 a whole
   // answer of an older snapshot goes before a partial one of a newer.
-  double enough_coverage = 1.0;
+  double sufficient_coverage = 1.0;
   // Share of each service's warm targets that must hold it. While a version
   // rolls out, its first holders would otherwise get all of the load.
-  double enough_replicas = 0.5;
+  double min_holder_share = 0.5;
 };
 
 struct SnapshotChoice {
@@ -42,7 +42,7 @@
 std::optional<SnapshotChoice> ChooseSnapshot(
     const FrontConfig& front,
     const CandidatesByService& candidates,
-    const SnapshotRule& rule,
+    const SnapshotPolicy& policy,
     std::optional<SnapshotId> newer_than = std::nullopt);
 
 // The manifest of that generation; null if `front` has none.
--- a/knapweedroad/query/token_budget.cc
+++ b/knapweedroad/query/token_budget.cc
@@ -7,7 +7,7 @@
 TokenBudget::TokenBudget(TokenBudgetOptions options)
     : options(options), tokens(options.burst) {}
 
-void TokenBudget::OnFirstTry() {
+void TokenBudget::OnFirstAttempt() {
   if (this->is_suspended) {
     return;
   }
@@ -16,11 +16,11 @@
 }
 
 bool TokenBudget::CanTake(bool urgent) const {
-  const double kept = urgent ? 0.0 : this->options.burst / 2;
-  return !this->is_suspended && this->tokens >= 1.0 + kept;
+  const double reserved = urgent ? 0.0 : this->options.burst / 2;
+  return !this->is_suspended && this->tokens >= 1.0 + reserved;
 }
 
-bool TokenBudget::Take() {
+bool TokenBudget::TryTake() {
   if (!this->CanTake()) {
     return false;
   }
@@ -28,7 +28,7 @@
   return true;
 }
 
-void TokenBudget::GiveBack() {
+void TokenBudget::Refund() {
   this->tokens = std::min(this->options.burst, this->tokens + 1.0);
 }
 
--- a/knapweedroad/query/token_budget.h
+++ b/knapweedroad/query/token_budget.h
@@ -1,8 +1,8 @@
 // Extra attempts as a share of first tries.
 //
 //   TokenBudget hedges({.share = 0.05});
-//   hedges.OnFirstTry();
-//   if (hedges.Take()) SendHedge();
+//   hedges.OnFirstAttempt();
+//   if (hedges.TryTake()) SendHedge();
 
 #ifndef KNAPWEEDROAD_QUERY_TOKEN_BUDGET_H_
 #define KNAPWEEDROAD_QUERY_TOKEN_BUDGET_H_
@@ -23,17 +23,17 @@
  public:
   explicit TokenBudget(TokenBudgetOptions options);
 
-  void OnFirstTry();
+  void OnFirstAttempt();
 
   // Whether one extra attempt may be sent now. One that isn't urgent leaves
   // half of what can be saved up to those that are.
   bool CanTake(bool urgent = true) const;
 
   // CanTake(); if so it is counted.
-  bool Take();
+  bool TryTake();
 
   // What was taken has not run.
-  void GiveBack();
+  void Refund();
 
   // While suspended nothing can be taken and nothing is saved up.
   void SetSuspended(bool suspended);
