--- a/knapweedroad/query/attempt_failure.h
+++ b/knapweedroad/query/attempt_failure.h
@@ -1,4 +1,4 @@
-// Why one attempt brought no answer.
+// The reason why one attempt returned no usable reply.
 
 #ifndef KNAPWEEDROAD_QUERY_ATTEMPT_FAILURE_H_
 #define KNAPWEEDROAD_QUERY_ATTEMPT_FAILURE_H_
@@ -12,20 +12,30 @@
 namespace knapweedroad {
 
 enum class FailureKind : uint8_t {
-  kRefusedByHolder,  // the lease holder refused it: no slot before the deadline
-  kShed,             // the target refused it: over its slots or its cold limit
-  kNoSnapshot,       // the target doesn't hold the snapshot
-  kTimeout,          // no answer by the attempt's deadline
-  kConnection,       // the connection to the target or the holder failed
-  kLeaving,          // the target takes no new work
-  kInvalidReply,     // the answer can't be used
+  // The host that holds the target's lease has no free slot on the target
+  // before the deadline.
+  kRefusedByHolder,
+  // The target rejected it: all of its slots, or the fewer slots that it has
+  // while cold, are in use.
+  kShed,
+  // The target does not hold the requested snapshot.
+  kNoSnapshot,
+  // No reply arrived by the attempt's deadline.
+  kTimeout,
+  // The connection to the target or to the lease holder failed.
+  kConnection,
+  // The target is shutting down and accepts no new work.
+  kLeaving,
+  // The reply is malformed or comes from another snapshot.
+  kInvalidReply,
 };
 
 struct AttemptFailure {
-  // `kNotRun` only with proof.
+  // `kNotRun` only if it is certain that the target did not run the request.
   RunOutcome outcome = RunOutcome::kUnknown;
   FailureKind kind = FailureKind::kConnection;
-  // When the one that refused expects to have room, if it said so.
+  // The delay after which the lease holder or target expects to have a free
+  // slot, if it sent one.
   std::optional<Duration> retry_after;
 };
 
--- a/knapweedroad/query/call_context.h
+++ b/knapweedroad/query/call_context.h
@@ -1,4 +1,5 @@
-// What all sub-requests of one caller's request share.
+// The settings, callbacks and counters that all attempts of one caller's
+// request share.
 
 #ifndef KNAPWEEDROAD_QUERY_CALL_CONTEXT_H_
 #define KNAPWEEDROAD_QUERY_CALL_CONTEXT_H_
@@ -18,37 +19,41 @@
 
 struct FrontState;
 
+// Callbacks into the host.
 struct QueryHooks {
-  // The targets of a service as they are known now, usable or not.
+  // Returns the current candidates of a service, usable or not.
   std::function<std::vector<TargetCandidate>(const ServiceId&)> candidates;
-  // A name that no attempt of any host has had.
+  // Returns an id that no attempt of any host has used.
   std::function<AttemptId()> next_attempt_id;
-  // Uniform over all 64-bit numbers.
+  // Returns a random number, uniform over all 64-bit values.
   std::function<uint64_t()> random;
 };
 
-// Attempts of one caller's request, for metrics.
+// Counts of the attempts of one caller's request, for metrics.
 struct QueryRunStats {
   uint32_t first_attempts = 0;
   uint32_t hedges = 0;
   uint32_t retries = 0;
+  // Restarts of the query on a newer snapshot.
   uint32_t restarts = 0;
-  // First tries and retries that a holder or target refused for want of room.
+  // First attempts and retries that a lease holder or target refused because it
+  // had no free slot.
   uint32_t refused = 0;
-  // Answers of another snapshot than the one asked for.
+  // Replies from another snapshot than the requested one.
   uint32_t wrong_snapshots = 0;
 };
 
-// The answer has left this host that long before the deadline, so that the way
-// back to the caller fits in.
+// How long before the caller's deadline this host sends its answer, to leave
+// time for the way back to the caller.
 inline constexpr Duration kDefaultReturnMargin = std::chrono::milliseconds(10);
 
-// For refusals whose cause names no time: about what a target needs to
-// announce itself again.
+// The `retry_after` of refusals whose cause gives no delay: about the time
+// after which a target announces itself again.
 inline constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
-// When an answer leaves at the latest: `margin` before the deadline, or a
-// quarter of the whole time before it where that is less.
+// Returns the latest time at which the answer is sent: `margin` before
+// `deadline`, or a quarter of the time from `start` to `deadline` if that is
+// shorter.
 inline TimePoint AnswerBy(TimePoint start,
                           TimePoint deadline,
                           Duration margin) {
@@ -58,8 +63,10 @@
 }
 
 struct CallContext {
+  // All references outlive the context.
   const FrontConfig& front;
   const ZoneId& own_zone;
+  // When the answer is sent at the latest; also the deadline of each attempt.
   TimePoint answer_by;
   FrontState& state;
   const QueryHooks& hooks;
--- a/knapweedroad/query/coverage.cc
+++ b/knapweedroad/query/coverage.cc
@@ -8,7 +8,8 @@
 
 constexpr uint64_t kStepCount = 10'000;
 
-// Integers throughout: 9,999,999 of 10,000,000 units must not round up to 1.
+// Returns the covered share in steps of 1 / kStepCount, rounded down. Uses
+// integers only: 9,999,999 of 10,000,000 units must not round up to 1.
 uint64_t CompletedSteps(const Coverage& coverage) {
   if (coverage.units_total == 0) {
     return 0;
--- a/knapweedroad/query/hit_merge.h
+++ b/knapweedroad/query/hit_merge.h
@@ -1,4 +1,4 @@
-// Joins the hits of several services.
+// Merges the hits of several services.
 //
 //   std::vector<Hit> best = MergeHits(std::move(all), 10);
 
@@ -12,8 +12,9 @@
 
 namespace knapweedroad {
 
-// The `limit` best by score, equal scores by id. An id that two services
-// brought stands once, with its best score.
+// Returns the `limit` hits with the highest scores, highest first; hits of
+// equal score are ordered by id. An id that several services return appears
+// once, with its highest score.
 std::vector<Hit> MergeHits(std::vector<Hit> hits, uint32_t limit);
 
 }  // namespace knapweedroad
--- a/knapweedroad/query/latency_tracker.cc
+++ b/knapweedroad/query/latency_tracker.cc
@@ -14,7 +14,7 @@
 constexpr double kLowestSeconds = 20e-6;
 constexpr double kHighestSeconds = 100.0;
 constexpr int kBucketCount = 317;
-// A quantile q needs that many samples above it to be worth anything.
+// With fewer samples above it a quantile is unreliable.
 constexpr double kMinSamplesAbove = 10.0;
 constexpr double kMinSamples = 20.0;
 
--- a/knapweedroad/query/latency_tracker.h
+++ b/knapweedroad/query/latency_tracker.h
@@ -1,4 +1,4 @@
-// Measured latencies of each service, by the zone of the target that answered.
+// Latency quantiles per service and zone of the target.
 //
 //   LatencyTracker tracker;
 //   tracker.Record(service, zone, 12ms);
@@ -16,16 +16,19 @@
 
 namespace knapweedroad {
 
-// A histogram on a logarithmic axis that forgets: when it holds `window`
-// samples, the weight of each is halved.
+// A histogram of latencies in logarithmic buckets, in which recent samples
+// weigh more: whenever the total weight reaches `window`, all weights are
+// halved.
 class DecayingHistogram {
  public:
   explicit DecayingHistogram(double window);
 
   void Record(Duration latency);
 
-  // The upper edge of the bucket that holds this quantile (0 to 1), at most 5%
-  // above the true value. Nothing while there are too few samples to tell.
+  // Returns the upper edge of the bucket that holds this quantile (0 to 1): at
+  // most 5% above the true value for latencies from 20 microseconds to 100
+  // seconds. Returns nullopt while the total weight is below 20 samples, or the
+  // weight above the quantile is below 10.
   std::optional<Duration> Quantile(double quantile) const;
 
  private:
@@ -34,18 +37,21 @@
   std::vector<double> weights;
 };
 
+// Records latencies and returns their quantiles, from the most specific group
+// of targets that has enough samples.
 class LatencyTracker {
  public:
-  // Samples of about this many last requests count.
+  // The maximum total weight of each histogram, which then reflects about this
+  // many recent requests.
   static constexpr double kDefaultWindow = 2000.0;
 
   explicit LatencyTracker(double window = kDefaultWindow);
 
   void Record(const ServiceId& service, const ZoneId& zone, Duration latency);
 
-  // The quantile of the service's targets in that zone; while too few of them
-  // have answered, of all of its targets; while these are too few, of all
-  // services. Nothing while even these are too few.
+  // Returns the quantile (0 to 1) of the service's latencies in that zone. With
+  // too few samples there, returns that of the service in all zones, then that
+  // of all services, and then nullopt.
   std::optional<Duration> Quantile(const ServiceId& service,
                                    const ZoneId& zone,
                                    double quantile) const;
@@ -57,7 +63,6 @@
   };
 
   double window;
-  // Of all services.
   DecayingHistogram all_services;
   std::map<ServiceId, ServiceLatencies> by_service;
 };
--- a/knapweedroad/query/query_answer.h
+++ b/knapweedroad/query/query_answer.h
@@ -1,4 +1,4 @@
-// The last word on a query: an answer, or why there is none.
+// The result of a query: an answer, or the error that replaces it.
 
 #ifndef KNAPWEEDROAD_QUERY_QUERY_ANSWER_H_
 #define KNAPWEEDROAD_QUERY_QUERY_ANSWER_H_
@@ -17,22 +17,25 @@
 
 struct QueryAnswer {
   std::string request_id;
-  // The one snapshot that all hits are of.
+  // The snapshot that all hits come from.
   SnapshotId snapshot;
   Coverage coverage;
-  // Services of the manifest that brought less than all of their units.
+  // Services of the manifest that did not search all of their index units.
   std::vector<ServiceId> missing_services;
+  // Best first, each record once.
   std::vector<Hit> hits;
 };
 
-// Also of record reads and lookups.
+// The error response to a search, record read or lookup that has no answer.
 struct QueryRefusal {
-  // An HTTP status: 429, 502, 503 or 504.
+  // The HTTP status: 429, 502, 503 or 504.
   int status = 503;
   std::string title;
   std::string detail;
+  // Whether the request ran on any target.
   RunOutcome outcome = RunOutcome::kNotRun;
-  // When it is worth asking again; zero: at once, elsewhere.
+  // The delay after which the caller should retry. Zero: the caller may retry
+  // at once on another host.
   Duration retry_after{};
 
   friend bool operator==(const QueryRefusal&, const QueryRefusal&) = default;
--- a/knapweedroad/query/query_components_test.cc
+++ b/knapweedroad/query/query_components_test.cc
@@ -1,4 +1,5 @@
-// The small decisions that a query is made of.
+// Tests of the components that queries use: coverage, hit merging, latency
+// quantiles, budgets, and the choice of replica and snapshot.
 
 #include <criterion/criterion.h>
 
@@ -20,8 +21,8 @@
   const Coverage almost{.units_answered = 9'999'999, .units_total = 10'000'000};
   cr_assert_eq(almost.ToText(), "0.9999");
   cr_assert_lt(almost.Value(), 1.0);
-  const Coverage whole{.units_answered = 3, .units_total = 3};
-  cr_assert_eq(whole.ToText(), "1.0000");
+  const Coverage complete{.units_answered = 3, .units_total = 3};
+  cr_assert_eq(complete.ToText(), "1.0000");
 }
 
 Test(HitMerge, ReturnsTheBestHitsWithoutDuplicates) {
@@ -52,8 +53,8 @@
 }
 
 Test(LatencyTracker, ANewServiceUsesTheQuantileOfAllServices) {
-  // After each start of a host nothing is hedged for seconds, or by a quantile
-  // of three samples.
+  // Guards against hedging nothing for seconds after a host starts, and against
+  // hedging by a quantile of three samples.
   LatencyTracker tracker;
   const ZoneId zone("z");
   for (int i = 0; i < 1000; ++i) {
@@ -76,12 +77,12 @@
   }
   cr_assert(budget.TryTake());
   cr_assert(budget.TryTake());
-  cr_assert(!budget.TryTake(), "a quiet hour saves up no more");
+  cr_assert(!budget.TryTake(), "no more than `burst` tokens are saved up");
 }
 
 Test(TokenBudget, ReservesHalfForUrgentAttempts) {
-  // Stragglers wait in full: requests a little over the quantile, of which
-  // there are five times as many, have used the budget up.
+  // Guards against very slow attempts that are not hedged because slightly slow
+  // ones, which are five times as frequent, have used up the budget.
   TokenBudget budget({.share = 0.05, .burst = 4});
   cr_assert(budget.CanTake(false));
   budget.TryTake();
@@ -120,8 +121,8 @@
 }
 
 Test(ReplicaChoice, UsesAllZonesAndAvoidsTheBusiestTarget) {
-  // A search front is slow at half load: hosts of one zone all ask the same
-  // target, while the targets of a zone with few hosts idle.
+  // Guards against high latency at half load: the hosts of one zone all choose
+  // the same target, while the targets of a zone with few hosts are idle.
   ReplicaChoiceFixture fixture;
   fixture.targets.push_back({.target = TargetId("busy"),
                              .zone = ZoneId("here"),
@@ -137,7 +138,8 @@
 }
 
 Test(ReplicaChoice, AFullColdTargetIsNotChosenWhileAWarmOneExists) {
-  // A cold searcher of the own zone falls over under its zone's full load.
+  // Guards against sending all of a zone's load to a cold target in that zone,
+  // which overloads it.
   ReplicaChoiceFixture fixture;
   fixture.targets[1].state = TargetState::kCold;
   fixture.targets[1].in_flight = 1;
@@ -148,8 +150,9 @@
 }
 
 Test(ReplicaChoice, AColdTargetWithAFreeSlotGetsAFewRequests) {
-  // Answers lack a service at the tail target, and stay so: two of its three
-  // replicas are cold, get no work while the third is warm, and so never warm.
+  // Guards against answers that permanently miss a service at the tail target:
+  // two of its three replicas are cold, get no requests while the third is
+  // warm, and therefore stay cold.
   ReplicaChoiceFixture fixture;
   fixture.targets[1].state = TargetState::kCold;
   int chosen_cold = 0;
@@ -179,8 +182,8 @@
 }
 
 Test(SnapshotChoice, ANewSnapshotIsNotChosenWhileFewTargetsHoldIt) {
-  // Each roll-out sheds: one searcher a service has the new version, and all
-  // queries go to these, past what they bear.
+  // Guards against load shedding in each roll-out: all queries go to the first
+  // target of each service that has the new version and exceed its capacity.
   QueryTestFixture fixture;
   for (const char* service : {"s1", "s2"}) {
     fixture.AddTarget(service, "c", "elsewhere");
--- a/knapweedroad/query/query_hedge_test.cc
+++ b/knapweedroad/query/query_hedge_test.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 
 Test(QueryHedge, ASlowAttemptIsHedgedAndTheFirstReplyWins) {
-  // One straggling searcher of a shard sets the latency of every query.
+  // Guards against one slow target of a shard that slows down every query.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   auto run = fixture.MakeRun();
@@ -28,7 +28,8 @@
 }
 
 Test(QueryHedge, ASlowHedgeIsHedgedOnce) {
-  // One query in a thousand meets a straggler twice in a row.
+  // Guards against slow answers when the hedge goes to a slow target too, as in
+  // one query of a thousand.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   fixture.AddTarget("s1", "s1-c", "there");
@@ -39,12 +40,13 @@
   cr_assert_eq(Sends(run.OnTimer(fixture.At(11))).size(), 1);
   cr_assert(run.OnTimer(fixture.At(15)).empty());
   cr_assert_eq(Sends(run.OnTimer(fixture.At(22))).size(), 1);
-  cr_assert(run.OnTimer(fixture.At(60)).empty(), "two hedges at most");
+  cr_assert(run.OnTimer(fixture.At(60)).empty(), "at most two hedges are sent");
 }
 
 Test(QueryHedge, ARefusedHedgeGoesToAnotherReplicaAndIsRefunded) {
-  // A straggler isn't hedged for long: the view of loads is old, and the slot
-  // that looked free is taken when the hedge comes to the lease holder.
+  // Guards against a slow attempt that stays without a hedge: reported loads
+  // lag, and the slot that seemed free is taken when the hedge reaches the
+  // lease holder.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   fixture.AddTarget("s1", "s1-c", "there");
@@ -61,14 +63,16 @@
   cr_assert_neq(other[0].target, hedge[0].target);
   cr_assert(run.OnFailure(other[0].attempt, full, fixture.At(19)).empty());
   cr_assert_eq(run.stats().hedges, 0);
-  cr_assert_eq(run.stats().refused, 0, "and isn't a sign of overload");
+  cr_assert_eq(run.stats().refused, 0,
+               "a refused hedge does not indicate overload");
   cr_assert_eq(Sends(run.OnTimer(fixture.At(25))).size(), 1,
-               "looked for again");
+               "the hedge is tried again");
 }
 
 Test(QueryHedge, ATargetThatRefusedAHedgeCanGetARetry) {
-  // A shard is lost although a searcher of it is well: that one had no free
-  // slot for a hedge, and isn't asked again when the first try fails.
+  // Guards against missing a shard that has a healthy target: that target had
+  // no free slot for a hedge, and is not tried again when the first attempt
+  // fails.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   auto run = fixture.MakeRun();
@@ -87,7 +91,7 @@
 }
 
 Test(QueryHedge, AFewSamplesAreEnoughToHedge) {
-  // For the first seconds after each start of a host nothing is hedged.
+  // Guards against hedging nothing for the first seconds after a host starts.
   QueryTestFixture fixture;
   for (int sample = 0; sample < 20; ++sample) {
     fixture.state.latencies.Record(ServiceId("s1"), ZoneId("here"),
@@ -100,7 +104,7 @@
 }
 
 Test(QueryHedge, AFailedFirstAttemptLeavesTheHedgeInFlight) {
-  // A third request for a part that another target is answering already.
+  // Guards against a third request to a shard while the hedge may still reply.
   QueryTestFixture fixture;
   fixture.AddTarget("s1", "s1-c", "there");
   fixture.RecordLatencies(milliseconds(10));
@@ -117,7 +121,8 @@
 }
 
 Test(QueryHedge, ABusyOrColdReplicaGetsNoHedge) {
-  // A hedge pushes a cold searcher over, or queues before first tries.
+  // Guards against a hedge that overloads a cold target or delays first
+  // attempts.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   auto run = fixture.MakeRun();
@@ -127,11 +132,11 @@
   cr_assert(run.OnTimer(fixture.At(12)).empty());
   fixture.Target("s1", 1).in_flight = 1;
   cr_assert_eq(Sends(run.OnTimer(fixture.At(20))).size(), 1,
-               "looked for again");
+               "the hedge is tried again");
 }
 
 Test(QueryHedge, NoHedgeWhileTheBudgetIsSuspended) {
-  // All searchers slow down together and each request is sent twice.
+  // Guards against sending each request twice when all targets become slow.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   fixture.state.hedges.SetSuspended(true);
@@ -152,8 +157,8 @@
 }
 
 Test(QueryHedge, LatenciesDuringOverloadAreNotRecorded) {
-  // For minutes after an overload stragglers aren't hedged: by the latencies
-  // of then, hardly anything is slow.
+  // Guards against too few hedges for minutes after an overload: compared to
+  // the latencies recorded during it, hardly any attempt is slow.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   fixture.state.SetOverloaded(true);
@@ -168,8 +173,8 @@
 }
 
 Test(QueryHedge, LatenciesOfCancelledSlowAttemptsAreRecorded) {
-  // Hedging that feeds itself: cancelled stragglers are left out of the
-  // latencies, the quantile sinks, and ever more is hedged.
+  // Guards against a growing number of hedges: if cancelled slow attempts are
+  // not recorded, the quantile drops and more attempts are hedged.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   for (int query = 0; query < 50; ++query) {
--- a/knapweedroad/query/query_history_test.cc
+++ b/knapweedroad/query/query_history_test.cc
@@ -1,5 +1,6 @@
-// Random courses of a query, each checked as a whole: versions roll out,
-// targets come and go, and answers are late, doubled, crossed or wrong.
+// Runs queries through random histories and checks each result: snapshots roll
+// out, targets become usable and unusable, and replies are late, duplicated or
+// from another snapshot.
 
 #include <criterion/criterion.h>
 
@@ -16,7 +17,7 @@
 constexpr int kHistoryCount = 3000;
 constexpr int kDeadlineMs = 100;
 
-// Drives one query to its end and keeps what was sent and what came back.
+// Runs one query to its end and records the attempts and replies.
 class RandomHistory {
  public:
   explicit RandomHistory(uint64_t seed)
@@ -35,7 +36,7 @@
       this->ChangeTargets();
       this->EndAttempts(now);
       const auto wake = this->run.NextWake();
-      // Early and late timers too: they must do no harm.
+      // Early and late timer calls must be safe too.
       if ((wake && *wake <= now) || this->Draw(10) == 0) {
         this->RecordActions(this->run.OnTimer(now));
       }
@@ -47,7 +48,7 @@
     cr_assert(!this->acted_after_finish);
     for (const auto& [attempt, send] : this->sent) {
       cr_assert(this->ended_ids.contains(attempt),
-                "neither ended nor cancelled");
+                "the attempt neither ended nor was cancelled");
     }
     if (!this->answer) {
       return;
@@ -78,7 +79,7 @@
       const auto& targets = this->fixture.targets.at(send.service);
       const auto target =
           std::ranges::find(targets, send.target, &TargetCandidate::target);
-      cr_assert(target->usable, "new work for a target that may get none");
+      cr_assert(target->usable, "a sub-request was sent to an unusable target");
       cr_assert(this->sent.emplace(send.attempt, send).second);
       this->sent_ids.push_back(send.attempt);
     }
@@ -112,7 +113,7 @@
     }
   }
 
-  // Ends some attempts, those that were cancelled or answered included.
+  // Ends random attempts, including those that ended or were cancelled before.
   void EndAttempts(TimePoint now) {
     for (size_t index = 0; index < this->sent_ids.size(); ++index) {
       const AttemptId attempt = this->sent_ids[index];
@@ -140,9 +141,9 @@
   QueryRun run;
   std::map<AttemptId, SendAttempt> sent;
   std::vector<AttemptId> sent_ids;
-  // Ended by an answer or failure, or cancelled.
+  // Attempts that were cancelled, or ended with a reply or failure.
   std::set<AttemptId> ended_ids;
-  // The snapshot of its first answer.
+  // The snapshot of the first reply to each attempt.
   std::map<AttemptId, SnapshotId> replied_snapshots;
   std::optional<QueryAnswer> answer;
   int finish_count = 0;
--- a/knapweedroad/query/query_run.cc
+++ b/knapweedroad/query/query_run.cc
@@ -23,26 +23,30 @@
 QueryActions QueryRun::Start(TimePoint now) {
   QueryActions actions;
   if (now >= this->answer_by) {
-    this->Refuse({.status = 504,
-                  .title = "Deadline passed",
-                  .detail = "the deadline passed before the query began",
-                  .outcome = RunOutcome::kNotRun},
-                 actions);
+    this->Refuse(
+        {.status = 504,
+         .title = "Deadline passed",
+         .detail =
+             "the deadline passed before the query was sent to any target",
+         .outcome = RunOutcome::kNotRun},
+        actions);
     return actions;
   }
   const auto choice = ChooseSnapshot(this->options.front, this->AllCandidates(),
                                      this->options.snapshot_policy);
   if (!choice) {
-    this->Refuse({.status = 503,
-                  .title = "No target",
-                  .detail = "no usable target holds a known snapshot",
-                  .outcome = RunOutcome::kNotRun,
-                  .retry_after = kDefaultRetryAfter},
-                 actions);
+    this->Refuse(
+        {.status = 503,
+         .title = "No target",
+         .detail =
+             "no usable target holds a snapshot of a configured generation",
+         .outcome = RunOutcome::kNotRun,
+         .retry_after = kDefaultRetryAfter},
+        actions);
     return actions;
   }
   this->PinSnapshot(choice->snapshot);
-  // What can't reach the minimum is refused before it loads any target.
+  // A query that cannot reach the minimum coverage sends no sub-requests.
   if (choice->reachable.Reaches(this->options.front.minimum_coverage)) {
     this->StartServices(now, actions);
   } else {
@@ -57,8 +61,8 @@
                                SearchReply reply,
                                TimePoint now) {
   QueryActions actions;
-  // Only ids that are awaited right now are looked up, and a restart forgets
-  // those of before: a late answer may be of another query or snapshot.
+  // Only the ids of attempts in flight match, and a restart drops earlier ones:
+  // a late reply may belong to another query or snapshot.
   for (ServiceProgress& service : this->services) {
     const auto taken = service.call.TakeAttempt(attempt);
     if (!taken) {
@@ -279,7 +283,7 @@
                        .detail = {},
                        .outcome = RunOutcome::kNotRun,
                        .retry_after = {}};
-  refusal.detail = "covered " + this->AnsweredCoverage().ToText() +
+  refusal.detail = "the replies cover " + this->AnsweredCoverage().ToText() +
                    " of the index" +
                    (now >= this->answer_by ? " by the deadline" : "");
   if (this->any_run) {
@@ -287,7 +291,8 @@
   } else if (this->any_unknown) {
     refusal.outcome = RunOutcome::kUnknown;
   }
-  // Worth asking again once the last of the missing services may answer.
+  // A retry is useful once the last of the failed services may have a free
+  // slot.
   bool any_failed = false;
   for (const ServiceProgress& service : this->services) {
     if (service.call.state() == ServiceCall::State::kFailed) {
--- a/knapweedroad/query/query_run.h
+++ b/knapweedroad/query/query_run.h
@@ -1,15 +1,16 @@
-// One caller's scatter query, from its start to its one answer.
+// Answers one caller's search by querying all services of a front in parallel.
 //
 //   QueryRun run({.front = front, .own_zone = zone, .request_id = "q-17",
 //                 .start = now, .deadline = now + 500ms, .state = state,
 //                 .hooks = hooks});
-//   Do(run.Start(now));              // performs the actions
-//   Do(run.OnReply(attempt, reply, now));
-//   while (auto wake = run.NextWake()) ...Do(run.OnTimer(now));
+//   Perform(run.Start(now));
+//   Perform(run.OnReply(attempt, reply, now));   // when a reply arrives
+//   Perform(run.OnTimer(now));                   // at run.NextWake()
 //
-// It decides and does no I/O. All of an answer's hits are of one snapshot,
-// which is pinned at the start; a restart on a newer one begins from
-// nothing.
+// QueryRun does no I/O: it returns the actions that its host performs. All hits
+// of an answer come from one snapshot, which is pinned at the start. If a
+// service can no longer serve that snapshot, the query may restart on a newer
+// one, and then discards all replies received so far.
 
 #ifndef KNAPWEEDROAD_QUERY_QUERY_RUN_H_
 #define KNAPWEEDROAD_QUERY_QUERY_RUN_H_
@@ -34,15 +35,17 @@
 namespace knapweedroad {
 
 struct QueryRunOptions {
-  // It and `state` outlive the run; the run never sees another configuration.
+  // The configuration for the whole run. `front` and `state` must outlive it.
   const FrontConfig& front;
+  // The zone of this host.
   ZoneId own_zone;
   std::string request_id;
-  // Hits wanted.
+  // The maximum number of hits in the answer.
   uint32_t limit = 10;
-  // When the caller's request came in, and when it stops waiting.
+  // When the caller's request arrived, and when the caller stops waiting.
   TimePoint start;
   TimePoint deadline;
+  // How long before `deadline` the answer is sent; see AnswerBy().
   Duration return_margin = kDefaultReturnMargin;
   SnapshotPolicy snapshot_policy;
   FrontState& state;
@@ -53,13 +56,14 @@
  public:
   explicit QueryRun(QueryRunOptions options);
 
-  // Called once. Each of the functions that follow returns what is to be done,
-  // in order. FinishAnswer or FinishRefusal comes once and last; from then on
-  // nothing is returned.
+  // Starts the query; called once, before the other functions. Each function
+  // returns the actions to perform, in order. FinishAnswer or FinishRefusal is
+  // returned once, as the last action, unless Abandon() is called before. After
+  // that, no actions are returned.
   QueryActions Start(TimePoint now);
 
-  // An attempt that isn't awaited (cancelled, of an earlier restart, unknown)
-  // is ignored.
+  // Processes the reply to an attempt, or its failure. Ignores attempts that
+  // are not in flight: ended, cancelled, from before a restart, or unknown.
   QueryActions OnReply(const AttemptId& attempt,
                        SearchReply reply,
                        TimePoint now);
@@ -67,27 +71,31 @@
                          const AttemptFailure& failure,
                          TimePoint now);
 
-  // To be called at NextWake(); earlier or later does no harm.
+  // Sends due hedges and retries, and finishes the query when its time is up.
+  // To be called at NextWake(); earlier or later calls are safe.
   QueryActions OnTimer(TimePoint now);
 
-  // The caller has left: cancels what runs, and finishes without an answer.
+  // Cancels all attempts and finishes without an answer. Called when the caller
+  // has disconnected.
   QueryActions Abandon(TimePoint now);
 
+  // Returns the time of the next call of OnTimer(), or nullopt once finished.
   std::optional<TimePoint> NextWake() const;
 
   bool finished() const { return this->is_finished; }
   const QueryRunStats& stats() const { return this->run_stats; }
 
  private:
-  // One service of the pinned generation.
+  // The state of one service of the pinned snapshot's generation.
   struct ServiceProgress {
     ServiceCall call;
-    // From the manifest.
+    // The service's index units in the manifest.
     uint32_t units = 0;
-    // Of the answer; at most `units`.
+    // The units that the accepted reply covers, at most `units`.
     uint32_t units_answered = 0;
     std::vector<Hit> hits;
-    // A target said that it doesn't hold the pinned snapshot.
+    // True once a target reported that it does not hold the pinned snapshot, or
+    // replied from another one.
     bool snapshot_missing = false;
   };
 
@@ -96,10 +104,14 @@
   void PinSnapshot(const SnapshotId& snapshot);
   void StartServices(TimePoint now, QueryActions& actions);
 
-  // Finishes, or restarts on a newer snapshot, if it is time to.
+  // Restarts on a newer snapshot if that allows a better answer, else finishes
+  // if waiting longer cannot help or the time is up.
   void FinishOrRestart(TimePoint now, QueryActions& actions);
+  // Returns true if the policy is kTail, its target time has passed and the
+  // minimum coverage is reached.
   bool CanFinishAtTailTarget(TimePoint now) const;
-  // It can't be answered any more from the pinned snapshot.
+  // Returns true if the service failed, and either a target reported that it
+  // does not hold the pinned snapshot or no usable target holds it.
   bool SnapshotUnavailable(const ServiceProgress& service) const;
   bool TryRestart(TimePoint now, QueryActions& actions);
   void CancelAll(TimePoint now, QueryActions& actions);
@@ -109,7 +121,7 @@
   void Refuse(QueryRefusal refusal, QueryActions& actions);
 
   Coverage AnsweredCoverage() const;
-  // What would be answered if all that is open were.
+  // Returns the coverage if all pending services reply in full.
   Coverage ReachableCoverage() const;
   bool AnyPending() const;
   void RecordOutcome(RunOutcome outcome);
--- a/knapweedroad/query/query_run_test.cc
+++ b/knapweedroad/query/query_run_test.cc
@@ -32,9 +32,9 @@
 }
 
 Test(QueryRun, AServiceWithoutTargetsCountsInTheTotal) {
-  // A dashboard says it is complete while a shard is missing.
-  // All searchers of s2 die; the next query sees only s1 and gets all that
-  // those who are alive hold. Cause: a denominator made from who is alive.
+  // Guards against reporting full coverage while a shard is missing: all
+  // targets of s2 have failed, and the total is computed from the available
+  // services only.
   QueryTestFixture fixture;
   fixture.targets.erase(ServiceId("s2"));
   auto run = fixture.MakeRun();
@@ -42,7 +42,8 @@
   cr_assert_eq(sends.size(), 1);
   const auto last =
       run.OnReply(sends[0].attempt, fixture.Reply("a"), fixture.At(5));
-  cr_assert(Answer(last).has_value(), "and nobody waits for the deadline");
+  cr_assert(Answer(last).has_value(),
+            "the answer does not wait for the deadline");
   const Coverage expected{.units_answered = 60, .units_total = 100};
   cr_assert(Answer(last)->coverage == expected);
   cr_assert(Answer(last)->missing_services ==
@@ -50,8 +51,8 @@
 }
 
 Test(QueryRun, AnErrorIsNotAnEmptyReply) {
-  // An editor is told that there is no duplicate, and files one.
-  // Both searchers of s1 answer with errors, which are merged as "no hits".
+  // Guards against reporting that no record matches when a shard has failed:
+  // both targets of s1 return errors, which are merged as empty lists of hits.
   QueryTestFixture fixture;
   fixture.front.minimum_coverage = 0.0;
   auto run = fixture.MakeRun();
@@ -68,7 +69,7 @@
 }
 
 Test(QueryRun, NoReplyIsARefusalEvenWithoutAMinimum) {
-  // All services fail and the caller gets a 200 with an empty list of hits.
+  // Guards against a status of 200 with no hits when all services fail.
   QueryTestFixture fixture;
   fixture.front.minimum_coverage = 0.0;
   auto run = fixture.MakeRun();
@@ -93,8 +94,8 @@
 }
 
 Test(QueryRun, OnlyTheFirstReplyOfAnAttemptCounts) {
-  // Coverage above what was asked: an answer arrives twice, or after its
-  // attempt was given up, and its units are added twice.
+  // Guards against coverage that counts units twice: a reply arrives twice, or
+  // after its attempt has ended.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -123,8 +124,8 @@
 }
 
 Test(QueryRun, AQueryThatCannotReachTheMinimumIsRefusedAtOnce) {
-  // A caller waits to its deadline for a refusal that was certain long before:
-  // all replicas of a service that the minimum needs have refused.
+  // Guards against waiting until the deadline for a refusal that is already
+  // certain: all replicas of a service that the minimum requires have refused.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -134,7 +135,8 @@
       run.OnFailure(again[0].attempt, kShedFailure, fixture.At(2));
   cr_assert(Refusal(last).has_value());
   cr_assert(Refusal(last)->retry_after == milliseconds(300));
-  cr_assert_eq(Cancels(last).size(), 1, "the other service needn't go on");
+  cr_assert_eq(Cancels(last).size(), 1,
+               "the attempt at the other service is cancelled");
 }
 
 Test(QueryRun, ARetryAfterWithinTheDeadlineIsUsed) {
@@ -151,7 +153,8 @@
 }
 
 Test(QueryRun, NoRetryAfterAnUnknownOutcomeWithoutBudget) {
-  // An outage that outlives its cause: every timeout sends one more request.
+  // Guards against an overload that persists after its cause has gone, because
+  // each timeout sends one more request.
   QueryTestFixture fixture;
   fixture.front.minimum_coverage = 0.0;
   fixture.state.retries.SetSuspended(true);
@@ -175,8 +178,8 @@
 }
 
 Test(QueryRun, AFailedConnectionToTheOnlyTargetIsRetriedOnce) {
-  // The only searcher of a shard is well, but the tier's open connection to it
-  // is dead: the query loses the shard although a new connection would do.
+  // Guards against missing a shard whose only target is healthy: the open
+  // connection to it is dead, but a new connection would work.
   QueryTestFixture fixture;
   fixture.targets[ServiceId("s1")].pop_back();
   auto run = fixture.MakeRun();
@@ -188,7 +191,8 @@
   cr_assert_eq(again.size(), 1);
   cr_assert_eq(again[0].target, sends[0].target);
   const auto last = run.OnFailure(again[0].attempt, silent, fixture.At(9));
-  cr_assert(Refusal(last).has_value(), "once, not for ever");
+  cr_assert(Refusal(last).has_value(),
+            "a failed connection is retried only once");
 }
 
 Test(QueryRun, CoveragePolicyAnswersOneReturnMarginBeforeTheDeadline) {
@@ -204,7 +208,7 @@
 }
 
 Test(QueryRun, TailPolicyAnswersPartiallyAtTheTailTarget) {
-  // A radio desk on deadline waits for one straggling shard of ten.
+  // Guards against waiting past the tail target for one slow shard of ten.
   QueryTestFixture fixture;
   fixture.front.policy = AnswerPolicy::kTail;
   auto run = fixture.MakeRun();
@@ -228,7 +232,7 @@
 }
 
 Test(QueryRun, AbandonCancelsAllAttempts) {
-  // Targets go on working for callers that have gone.
+  // Guards against targets that continue to work for disconnected callers.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -252,7 +256,8 @@
   fixture.targets.erase(ServiceId("s2"));
   auto run = fixture.MakeRun();
   const auto actions = run.Start(fixture.At(0));
-  cr_assert(Sends(actions).empty(), "no load for what can't be answered");
+  cr_assert(Sends(actions).empty(),
+            "a query that cannot succeed sends nothing");
   cr_assert(Refusal(actions)->outcome == RunOutcome::kNotRun);
 }
 
--- a/knapweedroad/query/query_snapshot_test.cc
+++ b/knapweedroad/query/query_snapshot_test.cc
@@ -1,4 +1,5 @@
-// A query keeps to one snapshot while versions and generations change.
+// Tests that a query uses one snapshot while index versions and generations
+// change.
 
 #include <criterion/criterion.h>
 
@@ -20,9 +21,8 @@
 }
 
 Test(QuerySnapshot, AReplyOfAnotherSnapshotIsDiscarded) {
-  // A dashboard adds up nights of two index versions.
-  // A searcher gets a new version between the choice of the snapshot and the
-  // sub-request, and answers from it.
+  // Guards against an answer that mixes two index versions: a target receives a
+  // new version after the snapshot was chosen, and replies from it.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -42,8 +42,8 @@
 }
 
 Test(QuerySnapshot, AnUnavailableSnapshotRestartsTheQueryOnANewerOne) {
-  // A query loses a shard in each roll-out: s1's searchers have dropped the
-  // pinned version, while s2 has answered from it already.
+  // Guards against missing a shard in each roll-out: the targets of s1 have
+  // dropped the pinned version, while s2 has already replied from it.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -58,11 +58,13 @@
   const auto last = run.OnReply(
       restart[1].attempt, fixture.Reply("b", kNewSnapshot), fixture.At(6));
   cr_assert(Answer(last)->coverage.IsComplete());
-  cr_assert_eq(Answer(last)->hits.size(), 2, "nothing of the old one");
+  cr_assert_eq(Answer(last)->hits.size(), 2,
+               "hits of the old snapshot are discarded");
 }
 
 Test(QuerySnapshot, TheFailureOfTheLastHolderRestartsTheQuery) {
-  // As above, but s1's only old replica crashes: nobody says "not held".
+  // The same failure without kNoSnapshot: the only target of s1 that holds the
+  // pinned snapshot crashes.
   QueryTestFixture fixture;
   fixture.Target("s1", 1).holds = {kNewSnapshot};
   auto run = fixture.MakeRun();
@@ -77,8 +79,8 @@
 }
 
 Test(QuerySnapshot, AReplyFromBeforeTheRestartIsIgnored) {
-  // Two versions in one answer: the slow answer of the first round arrives
-  // after the restart on the next version.
+  // Guards against an answer that mixes two index versions: a late reply from
+  // the old version arrives after the restart on the new one.
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
@@ -108,8 +110,8 @@
 }
 
 Test(QuerySnapshot, CoverageUsesTheManifestOfTheAnsweringGeneration) {
-  // Coverage above 1 or too low after a repartition: units of the old
-  // services are set against the new manifest.
+  // Guards against wrong coverage after a repartition, above 1 or too low:
+  // units of the old services are compared with the total of the new manifest.
   QueryTestFixture fixture;
   const SnapshotId split{.generation = 2, .index_version = 1};
   fixture.front.generations.push_back({.number = 2,
@@ -118,7 +120,7 @@
                                                  {ServiceId("s3"), 30}}});
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
-  cr_assert_eq(sends.size(), 2, "the new generation has no whole answer yet");
+  cr_assert_eq(sends.size(), 2, "no target holds the new generation yet");
   fixture.AddTarget("s3", "s3-a", "here");
   for (auto& [service, candidates] : fixture.targets) {
     for (TargetCandidate& candidate : candidates) {
@@ -134,7 +136,7 @@
       run.OnReply(restart[2].attempt, fixture.Reply("c", split), fixture.At(6));
   cr_assert_eq(Answer(last)->coverage.units_total, 100);
   cr_assert(Answer(last)->coverage.IsComplete());
-  cr_assert_eq(Answer(last)->hits.size(), 2, "the same record once");
+  cr_assert_eq(Answer(last)->hits.size(), 2, "the same record appears once");
 }
 
 }  // namespace
--- a/knapweedroad/query/query_test_fixture.h
+++ b/knapweedroad/query/query_test_fixture.h
@@ -1,5 +1,5 @@
-// Fakes of what a query sees, for the tests of this folder: a front of two
-// services (`s1` with 60 units, `s2` with 40) of two targets each.
+// A fixture for query tests: a front with two services (`s1` with 60 units,
+// `s2` with 40) of two targets each, and fake candidates.
 
 #ifndef KNAPWEEDROAD_QUERY_QUERY_TEST_FIXTURE_H_
 #define KNAPWEEDROAD_QUERY_QUERY_TEST_FIXTURE_H_
@@ -84,7 +84,7 @@
     return this->targets[ServiceId(service)][index];
   }
 
-  // Every service answers in about that time from now on.
+  // Records 100 samples of this latency for each service and zone.
   void RecordLatencies(std::chrono::milliseconds latency) {
     for (const auto& [service, candidates] : this->targets) {
       for (int sample = 0; sample < 100; ++sample) {
@@ -121,7 +121,8 @@
            std::chrono::milliseconds(milliseconds);
   }
 
-  // A reply with one hit of that id, and of all units of its service.
+  // Returns a reply with one hit of this id that covers all units of its
+  // service.
   SearchReply Reply(const char* hit, SnapshotId snapshot = kOldSnapshot) const {
     return {.snapshot = snapshot, .units = 100, .hits = {{hit, 0.5}}};
   }
--- a/knapweedroad/query/replica_choice.cc
+++ b/knapweedroad/query/replica_choice.cc
@@ -7,10 +7,11 @@
 namespace knapweedroad {
 namespace {
 
-// Lower is better.
+// Lower values are preferred.
 enum class ReplicaTier : uint8_t { kWarm, kFreeCold, kBusyCold };
 
-// A view of loads that is some requests old can't tell a difference of one.
+// Reported loads lag by some requests, so a difference of one is not
+// significant.
 constexpr uint32_t kMaxEqualLoadDifference = 1;
 
 uint32_t Load(const TargetCandidate& candidate) {
@@ -38,9 +39,11 @@
          options.excluded.end();
 }
 
-// The better of two picked at random: all hosts would else pick the target that
-// was the least loaded a while ago. The own zone only decides between two that
-// are about as busy, as zones differ in hosts.
+// Chooses between two random targets. If each host chose the least loaded
+// target, all would choose the same one from the same outdated loads. The own
+// zone only decides between similar loads: zones have different numbers of
+// hosts, and a strict preference would overload the targets of the larger
+// zones.
 const TargetCandidate* BetterOfTwo(
     const std::vector<const TargetCandidate*>& eligible,
     const ReplicaChoiceOptions& options) {
@@ -61,8 +64,9 @@
   return about_equal && only_other_in_own_zone ? other : one;
 }
 
-// One in so many first choices goes to a cold target that has room:
-// without any work it stays cold, and the service has one replica less to lose.
+// One choice in this many goes to a cold target with a free slot. A target that
+// gets no requests stays cold, which leaves the service with one usable replica
+// less.
 constexpr uint64_t kChoicesPerWarmUp = 8;
 
 bool ShouldWarmUp(const ReplicaChoiceOptions& options) {
--- a/knapweedroad/query/replica_choice.h
+++ b/knapweedroad/query/replica_choice.h
@@ -1,4 +1,4 @@
-// Which target of a service is asked.
+// Chooses the target of a service that an attempt is sent to.
 //
 //   auto choice = ChooseReplica(candidates, {.own_zone = zone,
 //                                            .snapshot = pinned,
@@ -22,33 +22,41 @@
 namespace knapweedroad {
 
 struct ReplicaChoiceOptions {
+  // The zone of this host.
   const ZoneId& own_zone;
-  // Only targets that hold it; any target where absent.
+  // If set, only targets that hold this snapshot are chosen.
   std::optional<SnapshotId> snapshot;
-  // Targets that this request has tried.
+  // Targets that must not be chosen, such as those tried before.
   std::span<const TargetId> excluded;
-  // What one searcher of the service runs at once, in a cold start or not.
+  // The number of requests that one target of the service runs concurrently:
+  // `cold_slots` while its state is kCold, else `slots`.
   uint32_t slots = 1;
   uint32_t cold_slots = 1;
-  // A hedge only goes to a warm target with a free slot: it must help
-  // without making anybody else wait.
+  // If true, only a warm target with a free slot is chosen. Set for hedges,
+  // which must not delay other requests.
   bool free_slot_only = false;
+  // Returns a random number, uniform over all 64-bit values.
   const std::function<uint64_t()>& random;
 };
 
-// Never one that is leaving or not usable. While there is a warm one, a cold
-// one gets one in eight choices, and only while it has has_room. The less
-// loaded of two picked at random; of two that are about as busy the one in the
-// own zone.
+// Returns the less loaded of two eligible targets picked at random, or the one
+// in the own zone if their loads differ by at most one request. Warm targets
+// are preferred to cold ones, and cold targets with a free slot to other cold
+// ones. One choice in eight goes to a cold target with a free slot although a
+// warm one is eligible, unless `free_slot_only` is set. A target that is
+// leaving, unusable or excluded is never chosen. Returns nullopt if no target
+// is eligible.
 std::optional<TargetCandidate> ChooseReplica(
     std::span<const TargetCandidate> candidates,
     const ReplicaChoiceOptions& options);
 
-// The service's settings; those of an unknown one allow one request at once.
+// Returns the service's settings. For a service that `front` does not list,
+// returns settings with one slot.
 const ServiceConfig& ServiceConfigOrDefault(const FrontConfig& front,
                                             const ServiceId& service);
 
-// Whether it may get new work and holds the snapshot.
+// Returns true if the candidate is usable, is not leaving, and holds the
+// snapshot if one is given.
 bool CanServe(const TargetCandidate& candidate,
               const std::optional<SnapshotId>& snapshot);
 
--- a/knapweedroad/query/search_reply.h
+++ b/knapweedroad/query/search_reply.h
@@ -1,4 +1,4 @@
-// What one target answered to one sub-request.
+// One target's reply to one search sub-request.
 
 #ifndef KNAPWEEDROAD_QUERY_SEARCH_REPLY_H_
 #define KNAPWEEDROAD_QUERY_SEARCH_REPLY_H_
@@ -12,6 +12,7 @@
 namespace knapweedroad {
 
 struct Hit {
+  // The record's id.
   std::string id;
   double score = 0.0;
 
@@ -19,9 +20,10 @@
 };
 
 struct SearchReply {
-  // As the target echoed it, not as it was asked for.
+  // The snapshot that the target reports to have searched, which may differ
+  // from the requested one.
   SnapshotId snapshot;
-  // Units of the index that the target says it searched.
+  // The number of index units that the target reports to have searched.
   uint32_t units = 0;
   std::vector<Hit> hits;
 };
--- a/knapweedroad/query/service_call.cc
+++ b/knapweedroad/query/service_call.cc
@@ -13,15 +13,18 @@
 constexpr uint32_t kMaxFailedRounds = 3;
 constexpr double kMedian = 0.5;
 constexpr int kHedgeDelayMedians = 3;
-// A hedge straggles as often as a first try.
+// A hedge is as likely to be slow as a first attempt, so a second hedge is
+// allowed.
 constexpr size_t kMaxHedges = 2;
-// Between two tries to get a hedge that had no budget or no free slot, at
-// least, and before a target is asked again.
+// The shortest time before a hedge for which there was no budget or no free
+// slot is tried again, and before a target is retried.
 constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(1);
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(1);
 
-// When a request to that zone counts as slow. After a start there are too few
-// samples for a high quantile, but soon enough for a median.
+// Returns the time after which an attempt to that zone counts as slow, or
+// nullopt with too few samples. Soon after a host starts there are enough
+// samples for a median, but not for a high quantile; a multiple of the median
+// is used then.
 std::optional<Duration> HedgeDelay(const CallContext& context,
                                    const ServiceId& service,
                                    const ZoneId& zone) {
@@ -93,8 +96,9 @@
   }
   if (!this->in_flight.empty()) {
     if (IsRefusedHedge(attempt, failure)) {
-      // Its slot was gone when it came: another target at once, and the same
-      // one again only by the timer, or refused hedges would chase each other.
+      // The slot was taken before the hedge arrived. Another target is tried at
+      // once, but this one only after the timer, so that refused hedges do not
+      // cause an endless loop.
       this->refused_hedge_targets.push_back(attempt.target);
       this->TryHedge(context, now, actions);
     }
@@ -110,8 +114,9 @@
   if (this->RetryOnAnotherTarget(context, failure.outcome, now, actions)) {
     return;
   }
-  // An open connection may have gone silent while its target is well: where
-  // there is no other, the same target is asked once more.
+  // An open connection may be dead although its target is healthy. If there is
+  // no other target, the same one is retried once, since a new connection may
+  // work.
   if (failure.kind == FailureKind::kConnection && !this->retried_same_target) {
     this->retried_same_target = true;
     this->retry_at = now + kMinRetryDelay;
@@ -123,7 +128,8 @@
 void ServiceCall::RecordRefusal(const CallContext& context,
                                 const InFlightAttempt& attempt,
                                 const AttemptFailure& failure) {
-  // A hedge that met no free slot cost nothing, and isn't a sign of overload.
+  // A hedge that found no free slot used no capacity and does not indicate
+  // overload.
   if (IsRefusedHedge(attempt, failure)) {
     context.state.hedges.Refund();
     context.stats.hedges -= 1;
@@ -151,8 +157,9 @@
                                  QueryActions& actions) {
   for (const InFlightAttempt& attempt : this->in_flight) {
     actions.emplace_back(CancelAttempt{attempt.id, attempt.target});
-    // It took at least this long. Left out, stragglers that lose to a hedge
-    // would vanish from the quantile, which would sink and cause more hedges.
+    // The latency is at least the time so far. If slow attempts that are
+    // cancelled after a hedge replied were not recorded, the quantile would
+    // drop and cause more hedges.
     const auto hedge_delay =
         HedgeDelay(context, this->service_id, attempt.zone);
     if (hedge_delay && now - attempt.sent >= *hedge_delay) {
@@ -230,8 +237,8 @@
   if (now + median_latency >= context.answer_by) {
     return;
   }
-  // Half of the budget is kept for attempts that are far over, so that those
-  // that are merely slower than most don't use it up.
+  // Half of the budget is reserved for attempts that are much slower than
+  // expected, so that slightly slow attempts do not use it up.
   const InFlightAttempt& oldest = this->in_flight.front();
   const auto hedge_delay = HedgeDelay(context, this->service_id, oldest.zone);
   const bool urgent = hedge_delay && now - oldest.sent >= *hedge_delay * 3 / 2;
@@ -275,8 +282,9 @@
                                        TimePoint now,
                                        QueryActions& actions) {
   TokenBudget& budget = context.state.retries;
-  // Nothing ran, so asking another target adds no load on any. Each is asked
-  // once a round: refusals by all of them don't become a loop.
+  // The request did not run, so trying another target adds no load and costs no
+  // budget. Each target is tried once per round, so refusals by all of them do
+  // not cause a loop.
   const bool budget_exempt = outcome == RunOutcome::kNotRun;
   if (!budget_exempt && !budget.CanTake()) {
     return false;
--- a/knapweedroad/query/service_call.h
+++ b/knapweedroad/query/service_call.h
@@ -1,6 +1,6 @@
-// Gets one answer from one service: first try, hedge and retries.
+// Gets one reply from one service, with hedges and retries.
 //
-//   ServiceCall call(service, pinned);
+//   ServiceCall call(service, snapshot);
 //   call.Start(context, now, actions);
 //   if (auto attempt = call.TakeAttempt(id)) {
 //     call.OnAnswered(context, *attempt, now, actions);
@@ -23,6 +23,7 @@
 
 namespace knapweedroad {
 
+// An attempt that was sent and has not ended.
 struct InFlightAttempt {
   AttemptId id;
   TargetId target;
@@ -31,50 +32,58 @@
   TimePoint sent;
 };
 
-// The request is idempotent: two targets may run it at once.
+// Sends one idempotent request to a service until one target replies: a first
+// attempt, hedges while it is slow, and retries after failures. Several targets
+// may run the request at the same time. It does no I/O: each function appends
+// the actions that the host performs.
 class ServiceCall {
  public:
+  // kFailed: no target replied, and no further attempt will be made.
   enum class State : uint8_t { kPending, kAnswered, kFailed };
 
-  // Without a snapshot any target of the service will do.
+  // If `snapshot` is set, only targets that hold it are used.
   ServiceCall(const ServiceId& service, std::optional<SnapshotId> snapshot);
 
-  // Sends the first try; gives up where no target can be asked.
+  // Sends the first attempt, or fails if no target is eligible.
   void Start(const CallContext& context, TimePoint now, QueryActions& actions);
 
-  // Ends the wait for that attempt and returns it; nothing if it isn't
-  // awaited. OnAnswered() or OnFailed() follows.
+  // Removes the attempt from those in flight and returns it, or returns nullopt
+  // if it is not in flight. The caller then calls OnAnswered() or OnFailed()
+  // with it.
   std::optional<InFlightAttempt> TakeAttempt(const AttemptId& attempt);
 
-  // The answer is good: cancels the other attempts.
+  // Accepts the attempt's reply and cancels the other attempts.
   void OnAnswered(const CallContext& context,
                   const InFlightAttempt& attempt,
                   TimePoint now,
                   QueryActions& actions);
 
-  // Asks another target, waits to ask again, or gives up.
+  // Leaves other attempts in flight running. If there are none, retries on
+  // another target, schedules a retry, or fails. A refused hedge is sent to
+  // another target.
   void OnFailed(const CallContext& context,
                 const InFlightAttempt& attempt,
                 const AttemptFailure& failure,
                 TimePoint now,
                 QueryActions& actions);
 
-  // Hedges and asks again where it is time to.
+  // Sends the hedge or the retry that is due.
   void OnTimer(const CallContext& context,
                TimePoint now,
                QueryActions& actions);
 
-  // Cancels all attempts.
+  // Cancels all attempts in flight, and the scheduled hedge and retry.
   void CancelInFlight(const CallContext& context,
                       TimePoint now,
                       QueryActions& actions);
 
+  // Returns the time of the next call of OnTimer(), if any.
   std::optional<TimePoint> NextWake() const;
 
   const ServiceId& service() const { return this->service_id; }
   State state() const { return this->call_state; }
   bool has_in_flight() const { return !this->in_flight.empty(); }
-  // The shortest time that a refusal named.
+  // Returns the shortest `retry_after` of all failures, if any had one.
   std::optional<Duration> retry_after() const {
     return this->shortest_retry_after;
   }
@@ -94,7 +103,8 @@
   void TryRetry(const CallContext& context,
                 TimePoint now,
                 QueryActions& actions);
-  // They may have a slot by now, and a retry may wait for one.
+  // Makes the targets that refused a hedge eligible again. They may have a free
+  // slot by now, and unlike a hedge, a retry may wait for one.
   void AllowRefusedHedgeTargets();
   bool RetryOnAnotherTarget(const CallContext& context,
                             RunOutcome outcome,
@@ -107,22 +117,23 @@
   std::optional<SnapshotId> snapshot;
   State call_state = State::kPending;
   std::vector<InFlightAttempt> in_flight;
-  // Targets that aren't asked again in this round.
+  // Targets that are excluded until the next round of retries.
   std::vector<TargetId> tried;
-  // Those of `tried` that refused a hedge, for want of a free slot.
+  // The targets in `tried` that refused a hedge because they had no free slot.
   std::vector<TargetId> refused_hedge_targets;
-  // When the one in_flight attempt counts as slow.
+  // When the next hedge is tried.
   std::optional<TimePoint> hedge_at;
-  // When to ask again; nothing is in_flight until then.
+  // When the next round of retries starts; no attempt is in flight until then.
   std::optional<TimePoint> retry_at;
   std::optional<Duration> shortest_retry_after;
-  // A target was asked again because its connection had failed.
+  // Whether a target was retried because its connection had failed.
   bool retried_same_target = false;
-  // Times that all targets have been asked in vain.
+  // The number of rounds in which all targets were tried and failed.
   uint32_t failed_rounds = 0;
 };
 
-// How long a request to this service takes, in the median.
+// Returns the median latency of the service's targets in the own zone, or zero
+// if there are too few samples.
 Duration MedianLatency(const CallContext& context, const ServiceId& service);
 
 }  // namespace knapweedroad
--- a/knapweedroad/query/snapshot_choice.cc
+++ b/knapweedroad/query/snapshot_choice.cc
@@ -10,7 +10,8 @@
 
 struct SnapshotAvailability {
   Coverage reachable;
-  // Whether enough targets of each service that can answer hold it.
+  // Whether, in each service with a holder, the share of warm targets that hold
+  // the snapshot reaches `min_holder_share`.
   bool enough_holders = true;
 };
 
@@ -59,7 +60,7 @@
   return availability;
 }
 
-// Newest first.
+// Returns the snapshots that any candidate holds, newest first.
 std::set<SnapshotId, std::greater<>> HeldSnapshots(
     const CandidatesByService& candidates) {
   std::set<SnapshotId, std::greater<>> held;
--- a/knapweedroad/query/snapshot_choice.h
+++ b/knapweedroad/query/snapshot_choice.h
@@ -1,4 +1,4 @@
-// Which snapshot a query is pinned to.
+// Chooses the snapshot that a query is pinned to.
 //
 //   auto choice = ChooseSnapshot(front, candidates, {});
 //   if (!choice) Refuse("no target");
@@ -18,34 +18,39 @@
 
 namespace knapweedroad {
 
-// A query takes the newest snapshot that can be had with enough coverage,
-// from enough replicas; where there is none, the newest with enough coverage;
-// where there is none, the one with the most coverage, the newest of equals.
+// The order of preference among snapshots: the newest that has sufficient
+// coverage and enough holders (targets that hold it), else the newest that has
+// sufficient coverage, else the one with the greatest coverage, the newest of
+// equals.
 struct SnapshotPolicy {
-  // Coverage (0 to 1) that is enough to take a newer snapshot. At 1 a whole
-  // answer of an older snapshot goes before a partial one of a newer.
+  // The share of the index (0 to 1) that the holders must cover. At 1, a
+  // complete answer from an older snapshot is preferred to a partial one from a
+  // newer.
   double sufficient_coverage = 1.0;
-  // Share of each service's warm targets that must hold it. While a version
-  // rolls out, its first holders would otherwise get all of the load.
+  // The share (0 to 1) of each service's warm targets that must hold the
+  // snapshot. Without this minimum, the first targets that get a new index
+  // version would receive the load of all.
   double min_holder_share = 0.5;
 };
 
 struct SnapshotChoice {
   SnapshotId snapshot;
-  // What could be answered if every service with a target did.
+  // The coverage of the answer if every service with a holder replies in full.
   Coverage reachable;
 };
 
 using CandidatesByService = std::map<ServiceId, std::vector<TargetCandidate>>;
 
-// Only snapshots of a generation in `front`, newer than `newer_than` if given.
+// Returns the preferred snapshot of the generations in `front`, considering
+// only those newer than `newer_than` if it is given. Returns nullopt if no
+// usable target holds such a snapshot.
 std::optional<SnapshotChoice> ChooseSnapshot(
     const FrontConfig& front,
     const CandidatesByService& candidates,
     const SnapshotPolicy& policy,
     std::optional<SnapshotId> newer_than = std::nullopt);
 
-// The manifest of that generation; null if `front` has none.
+// Returns the manifest of that generation, or null if `front` has none.
 const GenerationConfig* FindGeneration(const FrontConfig& front,
                                        uint32_t number);
 
--- a/knapweedroad/query/token_budget.h
+++ b/knapweedroad/query/token_budget.h
@@ -1,4 +1,4 @@
-// Extra attempts as a share of first tries.
+// Limits extra attempts (hedges or retries) to a share of first attempts.
 //
 //   TokenBudget hedges({.share = 0.05});
 //   hedges.OnFirstAttempt();
@@ -10,32 +10,36 @@
 namespace knapweedroad {
 
 struct TokenBudgetOptions {
-  // Extra attempts for each first try, in the long run.
+  // Extra attempts per first attempt, in the long run.
   double share = 0.05;
-  // Extra attempts that may be saved up; also what it starts with.
+  // The most tokens that can be saved up, and the number at the start. An extra
+  // attempt costs one token.
   double burst = 10.0;
 };
 
-// Guards against the load that extra attempts bring when targets are slow:
-// each slow answer would cause more attempts, which make answers slower, and
-// the front would stay overloaded after the cause has gone.
+// A token bucket that each first attempt refills by `share`. It bounds the load
+// that extra attempts add while targets are slow. Without a bound, each slow
+// reply would cause more attempts, which make replies slower still, and the
+// overload would persist after its cause has gone.
 class TokenBudget {
  public:
   explicit TokenBudget(TokenBudgetOptions options);
 
+  // Adds `share` tokens, up to `burst`. Does nothing while suspended.
   void OnFirstAttempt();
 
-  // Whether one extra attempt may be sent now. One that isn't urgent leaves
-  // half of what can be saved up to those that are.
+  // Returns true if one extra attempt may be sent now. Half of `burst` is
+  // reserved for urgent attempts.
   bool CanTake(bool urgent = true) const;
 
-  // CanTake(); if so it is counted.
+  // Takes one token, also a reserved one. Returns false and takes nothing if
+  // CanTake() is false.
   bool TryTake();
 
-  // What was taken has not run.
+  // Returns one token, up to `burst`, for an extra attempt that did not run.
   void Refund();
 
-  // While suspended nothing can be taken and nothing is saved up.
+  // While suspended, no token can be taken and OnFirstAttempt() adds none.
   void SetSuspended(bool suspended);
   bool suspended() const { return this->is_suspended; }
 
