--- a/bench/rollout/rollout_bench.cc
+++ b/bench/rollout/rollout_bench.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "knapweedroad/rollout/rollout_model.h"
+#include "knapweedroad/rollout/rollout_simulation.h"
 
 namespace knapweedroad {
 namespace {
@@ -24,7 +24,7 @@
   std::string name;
   bool is_good = false;
   CandidateFault fault;
-  TargetTrouble trouble;
+  TargetFault trouble;
 };
 
 std::vector<Case> Cases() {
@@ -32,29 +32,29 @@
       {.name = "good", .is_good = true},
       {.name = "good, one of its targets fails",
        .is_good = true,
-       .trouble = {.hits_candidate = true}},
+       .trouble = {.affects_candidate = true}},
       {.name = "good, one of its targets is slow",
        .is_good = true,
-       .trouble = {.hits_candidate = true, .slow = 8}},
+       .trouble = {.affects_candidate = true, .slow_factor = 8}},
       {.name = "good, a stable target fails",
        .is_good = true,
-       .trouble = {.hits_stable = true}},
+       .trouble = {.affects_stable = true}},
       {.name = "fails 0.25", .fault = {.share = 0.25}},
       {.name = "fails 0.5", .fault = {.share = 0.5}},
-      {.name = "slow x4, 0.5", .fault = {.share = 0.5, .slow = 4}},
+      {.name = "slow x4, 0.5", .fault = {.share = 0.5, .slow_factor = 4}},
       {.name = "fails 0.5 on the short route",
        .fault = {.share = 0.5, .only_short_route = true}},
       {.name = "fails 0.4 from 6 s",
-       .fault = {.share = 0.4, .from = seconds(6)}},
+       .fault = {.share = 0.4, .starts_after = seconds(6)}},
       {.name = "fails 0.5 from 10 s",
-       .fault = {.share = 0.5, .from = seconds(10)}},
+       .fault = {.share = 0.5, .starts_after = seconds(10)}},
       {.name = "fails 0.5 from 11.6 s",
-       .fault = {.share = 0.5, .from = milliseconds(11'600)}},
+       .fault = {.share = 0.5, .starts_after = milliseconds(11'600)}},
       {.name = "fails 0.6 under load",
-       .fault = {.share = 0.6, .above_rate = 1}},
+       .fault = {.share = 0.6, .min_target_rate = 1}},
       {.name = "slow x5 under load, a stable target fails",
-       .fault = {.share = 0.7, .slow = 5, .above_rate = 1},
-       .trouble = {.hits_stable = true}},
+       .fault = {.share = 0.7, .slow_factor = 5, .min_target_rate = 1},
+       .trouble = {.affects_stable = true}},
   };
 }
 
@@ -67,8 +67,8 @@
   std::vector<Way> ways;
   const auto add = [&](std::string name, double enough, double worse) {
     Way way{.name = std::move(name)};
-    way.comparison.enough = enough;
-    way.comparison.least_worse_share = worse;
+    way.comparison.base_threshold = enough;
+    way.comparison.min_worse_bad_share = worse;
     ways.push_back(std::move(way));
   };
   add("enough 1.5, worse 0.3", 1.5, 0.3);
@@ -91,27 +91,30 @@
 Tally Play(const Case& played, const Way& way, double rate, int seeds) {
   Tally tally;
   for (int seed = 1; seed <= seeds; ++seed) {
-    RolloutModelOptions options{.rate = rate,
-                                .fault = played.fault,
-                                .trouble = played.trouble,
-                                .comparison = way.comparison,
-                                .seed = static_cast<uint64_t>(seed)};
-    if (options.fault.above_rate > 0) {
-      options.fault.above_rate = rate / 3 * 0.6;
+    RolloutSimulationOptions options{.rate = rate,
+                                     .fault = played.fault,
+                                     .target_fault = played.trouble,
+                                     .comparison = way.comparison,
+                                     .seed = static_cast<uint64_t>(seed)};
+    if (options.fault.min_target_rate > 0) {
+      options.fault.min_target_rate = rate / 3 * 0.6;
     }
-    const RolloutModelResult result = RunRolloutModel(options);
+    const RolloutSimulationResult result = RunRolloutSimulation(options);
     const RolloutState wanted =
         played.is_good ? RolloutState::kCompleted : RolloutState::kRolledBack;
     tally.wrong += result.state == wanted ? 0 : 1;
-    tally.late += result.ended > options.duration ? 1 : 0;
+    tally.late += result.ended_after > options.duration ? 1 : 0;
     tally.over_bound +=
-        static_cast<double>(result.exposed) > result.allowed ? 1 : 0;
+        static_cast<double>(result.sent_to_candidate) > result.exposure_limit
+            ? 1
+            : 0;
     tally.over_rollback +=
-        !played.is_good && result.last_after_50th_s > 5 ? 1 : 0;
-    tally.stable_after += result.stable_after_end > 0 ? 1 : 0;
-    tally.exposed += static_cast<double>(result.exposed) / seeds;
-    tally.bad += static_cast<double>(result.bad) / seeds;
-    tally.ended += std::chrono::duration<double>(result.ended).count() / seeds;
+        !played.is_good && result.last_sent_after_50th_bad_s > 5 ? 1 : 0;
+    tally.stable_after += result.stable_attempts_after_end > 0 ? 1 : 0;
+    tally.exposed += static_cast<double>(result.sent_to_candidate) / seeds;
+    tally.bad += static_cast<double>(result.bad_answers) / seeds;
+    tally.ended +=
+        std::chrono::duration<double>(result.ended_after).count() / seeds;
   }
   return tally;
 }
--- a/bench/rollout/rollout_cost.cc
+++ b/bench/rollout/rollout_cost.cc
@@ -75,7 +75,7 @@
       this->controllers.emplace(
           records.back().service,
           RolloutController({.record = records.back(),
-                             .ordered = kStart,
+                             .ordered_at = kStart,
                              .deadline = kStart + kRollout},
                             kStart));
     }
@@ -134,7 +134,7 @@
     const std::string reply = this->Answer(report, now);
     const Timed timed(this->costs.hosts);
     const auto read = DecodePacked<RolloutReportReply>(reply);
-    this->samplers[host]->OnReported(kOwner, *read, now);
+    this->samplers[host]->OnReportReply(kOwner, *read, now);
     this->samplers[host]->Splits(now);
     this->due[host] = now + milliseconds(read->next_ms);
     ++this->costs.reports;
@@ -150,7 +150,7 @@
     for (const RolloutProgress& progress : report->rollouts) {
       RolloutController& controller = this->controllers.at(progress.service);
       controller.OnReport(report->host, report->epoch, progress,
-                          /*repeated=*/false, now);
+                          /*is_repeated=*/false, now);
       reply.directives.push_back(controller.directive());
       next = std::min(next, controller.ReportInterval(now));
     }
--- a/knapweedroad/edge/control_host.cc
+++ b/knapweedroad/edge/control_host.cc
@@ -273,7 +273,7 @@
   const RolloutRequest request{
       .service = service,
       .candidate = version,
-      .serving = self.registry.VersionInUse(service, version),
+      .serving_version = self.registry.VersionInUse(service, version),
       .duration = duration,
       .owner = self.self,
       .now_ms = UnixMs(),
@@ -281,13 +281,13 @@
   LogLine("rollout_ordered")
       .Add("service", service)
       .Add("candidate", version)
-      .Add("stable", request.serving)
+      .Add("stable", request.serving_version)
       .Add("duration_ms", duration / milliseconds(1))
       .Info();
   return self.editor->EditRollouts(
       "roll-out of " + service.str() + " to " + version.str(),
       [request](std::vector<RolloutRecord>& rollouts) {
-        PlaceOrder(rollouts, request);
+        ApplyOrder(rollouts, request);
       },
       deadline);
 }
--- a/knapweedroad/edge/rollout_owner.cc
+++ b/knapweedroad/edge/rollout_owner.cc
@@ -25,7 +25,7 @@
       .Add("number", controller.record().number)
       .Add("phase", ToString(controller.phase()))
       .Add("permille", controller.directive().candidate_permille)
-      .Add("directive", controller.directive().directive)
+      .Add("directive", controller.directive().sequence)
       .Add("sent", controller.sent())
       .Add("to_candidate", controller.sent_to_candidate())
       .Add("answers", controller.comparison().Describe())
@@ -38,8 +38,9 @@
       .Add("stable", controller.record().stable)
       .Add("candidate", controller.record().candidate)
       .Add("number", controller.record().number)
-      .Add("completed", controller.end()->state == RolloutState::kCompleted)
-      .Add("cause", controller.end()->cause)
+      .Add("completed",
+           controller.decision()->state == RolloutState::kCompleted)
+      .Add("cause", controller.decision()->cause)
       .Add("sent", controller.sent())
       .Add("to_candidate", controller.sent_to_candidate())
       .Add("answers", controller.comparison().Describe())
@@ -64,7 +65,7 @@
       heard == this->first_heard.end() ? now : heard->second;
   const TimePoint ordered = std::min<TimePoint>(first, now - age);
   return RolloutController({.record = record,
-                            .ordered = ordered,
+                            .ordered_at = ordered,
                             .deadline = ordered + duration,
                             .exposure = this->options.exposure},
                            now);
@@ -140,7 +141,7 @@
     controller.OnReport(report.host, report.epoch, progress, is_repeated, now);
     RolloutDirective directive = controller.directive();
     if (!may_expose) {
-      directive.directive = 0;
+      directive.sequence = 0;
       directive.candidate_permille = 0;
       directive.allows_stable = true;
     }
@@ -180,7 +181,7 @@
   std::map<ServiceId, Slots> slots = this->CountSlots(now);
   for (auto& [service, controller] : this->controllers) {
     const RolloutPhase phase = controller.phase();
-    const uint64_t directive = controller.directive().directive;
+    const uint64_t directive = controller.directive().sequence;
     const Slots& of = slots[service];
     controller.Tick({.entry_hosts = entry_hosts,
                      .candidate_slots = of.candidate,
@@ -190,7 +191,7 @@
         phase != RolloutPhase::kEnded) {
       LogEnd(controller);
     } else if (controller.phase() != phase ||
-               controller.directive().directive != directive) {
+               controller.directive().sequence != directive) {
       LogPhase(controller);
     }
   }
@@ -205,9 +206,9 @@
   };
   std::vector<Ended> ends;
   for (const auto& [service, controller] : this->controllers) {
-    if (controller.end()) {
+    if (controller.decision()) {
       ends.push_back(
-          {service, controller.record().number, controller.end()->state});
+          {service, controller.record().number, controller.decision()->state});
     }
   }
   if (ends.empty()) {
--- a/knapweedroad/edge/rollout_owner_test.cc
+++ b/knapweedroad/edge/rollout_owner_test.cc
@@ -62,7 +62,8 @@
          .epoch = 1,
          .sequence = ++this->sequence,
          .answers_number = this->sequence,
-         .rollouts = {{.service = kService, .number = 1, .sent = 1000}}});
+         .rollouts = {
+             {.service = kService, .rollout_number = 1, .sent = 1000}}});
     cr_assert(reply.directives.size() == 1);
     return reply.directives.front().candidate_permille;
   }
--- a/knapweedroad/edge/rollout_reporter.cc
+++ b/knapweedroad/edge/rollout_reporter.cc
@@ -70,7 +70,7 @@
         .Error();
     return kRetryInterval;
   }
-  this->sampler.OnReported(owner, *reply, sent_at);
+  this->sampler.OnReportReply(owner, *reply, sent_at);
   this->ApplySplits();
   return std::clamp<Duration>(milliseconds(reply->next_ms), kLeastInterval,
                               kMostInterval);
--- a/knapweedroad/rollout/answer_sample.cc
+++ b/knapweedroad/rollout/answer_sample.cc
@@ -5,11 +5,11 @@
 
 namespace knapweedroad {
 
-uint8_t SampleOf(Duration latency) {
+uint8_t EncodeLatencySample(Duration latency) {
   const double us = std::chrono::duration<double, std::micro>(latency).count();
-  const double step = kSampleStepsADoubling * std::log2(std::max(1.0, us));
+  const double step = kSampleStepsPerDoubling * std::log2(std::max(1.0, us));
   return static_cast<uint8_t>(
-      std::min<double>(std::round(step), kMostLatencySample));
+      std::min<double>(std::round(step), kMaxLatencySample));
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/rollout/answer_sample.h
+++ b/knapweedroad/rollout/answer_sample.h
@@ -2,7 +2,7 @@
 // scale, or that it failed.
 //
 //   std::string samples;
-//   samples += SampleOf(latency);
+//   samples += EncodeLatencySample(latency);
 //   samples += kFailedSample;
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ANSWER_SAMPLE_H_
@@ -15,13 +15,13 @@
 namespace knapweedroad {
 
 // Steps of a sample in which a latency doubles.
-inline constexpr int kSampleStepsADoubling = 8;
+inline constexpr int kSampleStepsPerDoubling = 8;
 // The attempt failed, however long it took.
 inline constexpr uint8_t kFailedSample = 255;
-inline constexpr uint8_t kMostLatencySample = 254;
+inline constexpr uint8_t kMaxLatencySample = 254;
 
 // From 1 us up to an hour; beyond that the nearest.
-uint8_t SampleOf(Duration latency);
+uint8_t EncodeLatencySample(Duration latency);
 
 }  // namespace knapweedroad
 
--- a/knapweedroad/rollout/answer_sampler.cc
+++ b/knapweedroad/rollout/answer_sampler.cc
@@ -7,9 +7,9 @@
 namespace knapweedroad {
 namespace {
 
-constexpr double kThousandths = 1000;
+constexpr double kPermille = 1000;
 
-VersionSplit SplitOfEnded(const RolloutRecord& record) {
+VersionSplit MakeEndedSplit(const RolloutRecord& record) {
   const bool is_completed = record.state == RolloutState::kCompleted;
   return {.stable = record.stable,
           .candidate = record.candidate,
@@ -23,45 +23,46 @@
     : options(std::move(options)) {}
 
 void AnswerSampler::SetRollouts(std::span<const RolloutRecord> rollouts) {
-  std::unordered_map<ServiceId, Running> still;
-  this->ended.clear();
+  std::unordered_map<ServiceId, RunningRollout> next_rollouts;
+  this->ended_splits.clear();
   for (const RolloutRecord& record : rollouts) {
     if (record.state != RolloutState::kRunning) {
-      this->ended[record.service] = SplitOfEnded(record);
+      this->ended_splits[record.service] = MakeEndedSplit(record);
       continue;
     }
-    Running& next = still[record.service];
-    const auto known = this->running.find(record.service);
-    const bool is_same = known != this->running.end() &&
-                         known->second.record.number == record.number;
+    RunningRollout& rollout = next_rollouts[record.service];
+    const auto previous = this->running_rollouts.find(record.service);
+    const bool is_same = previous != this->running_rollouts.end() &&
+                         previous->second.record.number == record.number;
     if (is_same) {
-      next = std::move(known->second);
+      rollout = std::move(previous->second);
       // Another owner's directives don't hold any more.
-      if (next.record.owner != record.owner) {
-        next.directive = {};
-        next.directive_until = TimePoint();
+      if (rollout.record.owner != record.owner) {
+        rollout.directive = {};
+        rollout.directive_expires_at = TimePoint();
       }
     }
-    next.record = record;
+    rollout.record = record;
     if (!is_same) {
-      this->ForgetAnswers(record.service);
+      this->DiscardAnswers(record.service);
     }
   }
-  this->running = std::move(still);
-  std::erase_if(this->owners, [owners = this->Owners()](const auto& entry) {
-    return !owners.contains(entry.first);
-  });
+  this->running_rollouts = std::move(next_rollouts);
+  std::erase_if(this->owner_states,
+                [owners = this->Owners()](const auto& entry) {
+                  return !owners.contains(entry.first);
+                });
 }
 
-void AnswerSampler::ForgetAnswers(const ServiceId& service) {
-  for (auto& [id, owner] : this->owners) {
-    owner.answers.erase(service);
+void AnswerSampler::DiscardAnswers(const ServiceId& service) {
+  for (auto& [id, state] : this->owner_states) {
+    state.answers.erase(service);
   }
 }
 
 std::set<HostId> AnswerSampler::Owners() const {
   std::set<HostId> owners;
-  for (const auto& [service, rollout] : this->running) {
+  for (const auto& [service, rollout] : this->running_rollouts) {
     owners.insert(rollout.record.owner);
   }
   return owners;
@@ -69,55 +70,57 @@
 
 SampledAttempt AnswerSampler::OnSent(const ServiceId& service,
                                      const VersionId& version) {
-  const auto found = this->running.find(service);
-  if (found == this->running.end()) {
+  const auto found = this->running_rollouts.find(service);
+  if (found == this->running_rollouts.end()) {
     return {};
   }
-  Running& rollout = found->second;
+  RunningRollout& rollout = found->second;
   const bool is_candidate = version == rollout.record.candidate;
   ++rollout.sent;
   rollout.sent_to_candidate += is_candidate ? 1 : 0;
   rollout.stable_in_flight += is_candidate ? 0 : 1;
   return {.service = service,
-          .number = rollout.record.number,
+          .rollout_number = rollout.record.number,
           .is_candidate = is_candidate};
 }
 
-AnswerSampler::Running* AnswerSampler::Find(const SampledAttempt& attempt) {
-  const auto found = this->running.find(attempt.service);
-  const bool is_same = found != this->running.end() &&
-                       found->second.record.number == attempt.number;
+AnswerSampler::RunningRollout* AnswerSampler::FindRunning(
+    const SampledAttempt& attempt) {
+  const auto found = this->running_rollouts.find(attempt.service);
+  const bool is_same = found != this->running_rollouts.end() &&
+                       found->second.record.number == attempt.rollout_number;
   return is_same ? &found->second : nullptr;
 }
 
 void AnswerSampler::OnEnded(const SampledAttempt& attempt) {
-  Running* const rollout = this->Find(attempt);
+  RunningRollout* const rollout = this->FindRunning(attempt);
   if (rollout != nullptr && !attempt.is_candidate &&
       rollout->stable_in_flight > 0) {
     --rollout->stable_in_flight;
   }
 }
 
-AnswerSamples* AnswerSampler::SamplesOf(const SampledAttempt& attempt,
-                                        const TargetId& target,
-                                        std::string_view route) {
-  Running* const rollout = this->Find(attempt);
+AnswerSamples* AnswerSampler::FindOrAddSamples(const SampledAttempt& attempt,
+                                               const TargetId& target,
+                                               std::string_view route) {
+  RunningRollout* const rollout = this->FindRunning(attempt);
   if (rollout == nullptr) {
     return nullptr;
   }
-  AnswerSamples& group = rollout->answers[{target, std::string(route)}];
-  group.target = target;
-  group.route = route;
-  group.is_candidate = attempt.is_candidate;
-  return &group;
+  AnswerSamples& samples = rollout->answers[{target, std::string(route)}];
+  samples.target = target;
+  samples.route = route;
+  samples.is_candidate = attempt.is_candidate;
+  return &samples;
 }
 
 void AnswerSampler::OnAnswered(const SampledAttempt& attempt,
                                const TargetId& target,
                                std::string_view route,
                                Duration latency) {
-  if (AnswerSamples* const group = this->SamplesOf(attempt, target, route)) {
-    group->samples += static_cast<char>(SampleOf(latency));
+  if (AnswerSamples* const samples =
+          this->FindOrAddSamples(attempt, target, route)) {
+    samples->samples += static_cast<char>(EncodeLatencySample(latency));
   }
   this->OnEnded(attempt);
 }
@@ -125,8 +128,9 @@
 void AnswerSampler::OnFailed(const SampledAttempt& attempt,
                              const TargetId& target,
                              std::string_view route) {
-  if (AnswerSamples* const group = this->SamplesOf(attempt, target, route)) {
-    group->samples += static_cast<char>(kFailedSample);
+  if (AnswerSamples* const samples =
+          this->FindOrAddSamples(attempt, target, route)) {
+    samples->samples += static_cast<char>(kFailedSample);
   }
   this->OnEnded(attempt);
 }
@@ -135,85 +139,89 @@
                               const TargetId& target,
                               std::string_view route,
                               Duration waited) {
-  if (AnswerSamples* const group = this->SamplesOf(attempt, target, route)) {
-    group->given_up += static_cast<char>(SampleOf(waited));
+  if (AnswerSamples* const samples =
+          this->FindOrAddSamples(attempt, target, route)) {
+    samples->given_up += static_cast<char>(EncodeLatencySample(waited));
   }
   this->OnEnded(attempt);
 }
 
-bool AnswerSampler::IsValid(const Running& rollout, TimePoint now) {
-  return now < rollout.directive_until;
+bool AnswerSampler::IsDirectiveValid(const RunningRollout& rollout,
+                                     TimePoint now) {
+  return now < rollout.directive_expires_at;
 }
 
-void AnswerSampler::TakeAnswers(const HostId& owner_id, Owner& owner) {
-  ++owner.answers_number;
-  owner.answers.clear();
-  for (auto& [service, rollout] : this->running) {
+void AnswerSampler::CollectAnswers(const HostId& owner_id, OwnerState& state) {
+  ++state.answers_number;
+  state.answers.clear();
+  for (auto& [service, rollout] : this->running_rollouts) {
     if (rollout.record.owner != owner_id) {
       continue;
     }
-    std::vector<AnswerSamples>& taken = owner.answers[service];
-    for (auto& [key, group] : rollout.answers) {
-      taken.push_back(std::move(group));
+    std::vector<AnswerSamples>& collected = state.answers[service];
+    for (auto& [key, samples] : rollout.answers) {
+      collected.push_back(std::move(samples));
     }
     rollout.answers.clear();
   }
 }
 
 RolloutReport AnswerSampler::MakeReport(const HostId& owner_id, TimePoint now) {
-  Owner& owner = this->owners[owner_id];
-  if (std::exchange(owner.has_replied, false)) {
-    this->TakeAnswers(owner_id, owner);
+  OwnerState& state = this->owner_states[owner_id];
+  if (std::exchange(state.has_replied, false)) {
+    this->CollectAnswers(owner_id, state);
   }
   RolloutReport report{.host = this->options.host,
                        .epoch = this->options.epoch,
-                       .sequence = ++owner.sequence,
-                       .answers_number = owner.answers_number};
-  for (const auto& [service, rollout] : this->running) {
+                       .sequence = ++state.sequence,
+                       .answers_number = state.answers_number};
+  for (const auto& [service, rollout] : this->running_rollouts) {
     if (rollout.record.owner != owner_id) {
       continue;
     }
-    report.rollouts.push_back({.service = service,
-                               .number = rollout.record.number,
-                               .directive = IsValid(rollout, now)
-                                                ? rollout.directive.directive
-                                                : uint64_t{0},
-                               .sent = rollout.sent,
-                               .sent_to_candidate = rollout.sent_to_candidate,
-                               .stable_in_flight = rollout.stable_in_flight,
-                               .answers = owner.answers[service]});
+    report.rollouts.push_back(
+        {.service = service,
+         .rollout_number = rollout.record.number,
+         .directive_sequence = IsDirectiveValid(rollout, now)
+                                   ? rollout.directive.sequence
+                                   : uint64_t{0},
+         .sent = rollout.sent,
+         .sent_to_candidate = rollout.sent_to_candidate,
+         .stable_in_flight = rollout.stable_in_flight,
+         .answers = state.answers[service]});
   }
   return report;
 }
 
-void AnswerSampler::OnReported(const HostId& owner_id,
-                               const RolloutReportReply& reply,
-                               TimePoint sent_at) {
-  const auto owner = this->owners.find(owner_id);
-  if (owner != this->owners.end()) {
+void AnswerSampler::OnReportReply(const HostId& owner_id,
+                                  const RolloutReportReply& reply,
+                                  TimePoint sent_at) {
+  const auto owner = this->owner_states.find(owner_id);
+  if (owner != this->owner_states.end()) {
     owner->second.has_replied = true;
   }
   for (const RolloutDirective& directive : reply.directives) {
-    const auto found = this->running.find(directive.service);
-    if (found == this->running.end()) {
+    const auto found = this->running_rollouts.find(directive.service);
+    if (found == this->running_rollouts.end()) {
       continue;
     }
-    Running& rollout = found->second;
+    RunningRollout& rollout = found->second;
     if (rollout.record.owner != owner_id ||
-        rollout.record.number != directive.number) {
+        rollout.record.number != directive.rollout_number) {
       continue;
     }
     rollout.directive = directive;
-    rollout.directive_until =
+    rollout.directive_expires_at =
         sent_at + std::chrono::milliseconds(directive.valid_ms);
   }
 }
 
-VersionSplit AnswerSampler::SplitOf(const Running& rollout, TimePoint now) {
+VersionSplit AnswerSampler::MakeSplit(const RunningRollout& rollout,
+                                      TimePoint now) {
   VersionSplit split{.stable = rollout.record.stable,
                      .candidate = rollout.record.candidate};
-  if (IsValid(rollout, now)) {
-    split.candidate_share = rollout.directive.candidate_permille / kThousandths;
+  if (IsDirectiveValid(rollout, now)) {
+    split.candidate_share = rollout.directive.candidate_permille / kPermille;
     split.allows_stable = rollout.directive.allows_stable;
   }
   return split;
@@ -221,9 +229,9 @@
 
 std::unordered_map<ServiceId, VersionSplit> AnswerSampler::Splits(
     TimePoint now) const {
-  std::unordered_map<ServiceId, VersionSplit> splits = this->ended;
-  for (const auto& [service, rollout] : this->running) {
-    splits[service] = SplitOf(rollout, now);
+  std::unordered_map<ServiceId, VersionSplit> splits = this->ended_splits;
+  for (const auto& [service, rollout] : this->running_rollouts) {
+    splits[service] = MakeSplit(rollout, now);
   }
   return splits;
 }
--- a/knapweedroad/rollout/answer_sampler.h
+++ b/knapweedroad/rollout/answer_sampler.h
@@ -1,13 +1,14 @@
-// What an entry host sees of the services that have a running roll-out, as it
-// reports it to the roll-outs' owners, and the directives that they answer.
+// What an entry host sees of the services that have a running
+// roll-out, as it reports it to the owners of the roll-outs, and the directives
+// that they answer.
 //
 //   AnswerSampler sampler({.host = name, .epoch = epoch});
 //   sampler.SetRollouts(agreed_rollouts);
 //   SampledAttempt sampled = sampler.OnSent(service, version);
 //   sampler.OnAnswered(sampled, target, route, latency);
 //   RolloutReport report = sampler.MakeReport(owner, now);
-//   sampler.OnReported(owner, reply, sent_at);
-//   VersionSplit split = sampler.SplitOf(service, now);
+//   sampler.OnReportReply(owner, reply, sent_at);
+//   VersionSplit split = sampler.Splits(now).at(service);
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ANSWER_SAMPLER_H_
 #define KNAPWEEDROAD_ROLLOUT_ANSWER_SAMPLER_H_
@@ -36,7 +37,7 @@
 struct SampledAttempt {
   // Empty: the service has no running roll-out.
   ServiceId service;
-  uint64_t number = 0;
+  uint64_t rollout_number = 0;
   bool is_candidate = false;
 };
 
@@ -54,7 +55,7 @@
   void SetRollouts(std::span<const RolloutRecord> rollouts);
 
   // Whether any roll-out runs.
-  bool is_active() const { return !this->running.empty(); }
+  bool is_active() const { return !this->running_rollouts.empty(); }
   // Whom reports go to.
   std::set<HostId> Owners() const;
 
@@ -79,16 +80,16 @@
   // answers of the one before.
   RolloutReport MakeReport(const HostId& owner, TimePoint now);
   // Its directives are valid from `sent_at` on, when the report was sent.
-  void OnReported(const HostId& owner,
-                  const RolloutReportReply& reply,
-                  TimePoint sent_at);
+  void OnReportReply(const HostId& owner,
+                     const RolloutReportReply& reply,
+                     TimePoint sent_at);
 
-  // How the requests of each service with a roll-out, ended or not, are to be
-  // divided now.
+  // How the requests of each service with a roll-out, ended or not, are
+  // to be divided now.
   std::unordered_map<ServiceId, VersionSplit> Splits(TimePoint now) const;
 
  private:
-  struct Running {
+  struct RunningRollout {
     RolloutRecord record;
     uint64_t sent = 0;
     uint64_t sent_to_candidate = 0;
@@ -96,10 +97,10 @@
     // By target and route.
     std::map<std::pair<TargetId, std::string>, AnswerSamples> answers;
     RolloutDirective directive;
-    TimePoint directive_until;
+    TimePoint directive_expires_at;
   };
 
-  struct Owner {
+  struct OwnerState {
     uint64_t sequence = 0;
     uint64_t answers_number = 0;
     bool has_replied = true;
@@ -107,20 +108,20 @@
     std::unordered_map<ServiceId, std::vector<AnswerSamples>> answers;
   };
 
-  Running* Find(const SampledAttempt& attempt);
-  void TakeAnswers(const HostId& owner_id, Owner& owner);
+  RunningRollout* FindRunning(const SampledAttempt& attempt);
+  void CollectAnswers(const HostId& owner_id, OwnerState& state);
   // Of an earlier roll-out of the service.
-  void ForgetAnswers(const ServiceId& service);
-  AnswerSamples* SamplesOf(const SampledAttempt& attempt,
-                           const TargetId& target,
-                           std::string_view route);
-  static bool IsValid(const Running& rollout, TimePoint now);
-  static VersionSplit SplitOf(const Running& rollout, TimePoint now);
+  void DiscardAnswers(const ServiceId& service);
+  AnswerSamples* FindOrAddSamples(const SampledAttempt& attempt,
+                                  const TargetId& target,
+                                  std::string_view route);
+  static bool IsDirectiveValid(const RunningRollout& rollout, TimePoint now);
+  static VersionSplit MakeSplit(const RunningRollout& rollout, TimePoint now);
 
   AnswerSamplerOptions options;
-  std::unordered_map<ServiceId, Running> running;
-  std::unordered_map<ServiceId, VersionSplit> ended;
-  std::map<HostId, Owner> owners;
+  std::unordered_map<ServiceId, RunningRollout> running_rollouts;
+  std::unordered_map<ServiceId, VersionSplit> ended_splits;
+  std::map<HostId, OwnerState> owner_states;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/rollout/answer_sampler_test.cc
+++ b/knapweedroad/rollout/answer_sampler_test.cc
@@ -10,46 +10,46 @@
 
 const TimePoint kStart{seconds(1000)};
 const ServiceId kService("s");
-const VersionId kOld("v1");
-const VersionId kNew("v2");
+const VersionId kStableVersion("v1");
+const VersionId kCandidateVersion("v2");
 const HostId kOwner("c1");
 
-RolloutRecord Record(uint64_t number = 1) {
+RolloutRecord MakeRecord(uint64_t number = 1) {
   return {.service = kService,
           .number = number,
-          .stable = kOld,
-          .candidate = kNew,
+          .stable = kStableVersion,
+          .candidate = kCandidateVersion,
           .owner = kOwner};
 }
 
 AnswerSampler MakeSampler() {
   AnswerSampler sampler({.host = HostId("e1"), .epoch = 7});
-  sampler.SetRollouts(std::vector{Record()});
+  sampler.SetRollouts(std::vector{MakeRecord()});
   return sampler;
 }
 
-RolloutReportReply Directive(uint32_t permille, bool allows_stable = true) {
+RolloutReportReply MakeReply(uint32_t permille, bool allows_stable = true) {
   return {.directives = {{.service = kService,
-                          .number = 1,
-                          .directive = 5,
+                          .rollout_number = 1,
+                          .sequence = 5,
                           .candidate_permille = permille,
                           .allows_stable = allows_stable,
                           .valid_ms = 1000}}};
 }
 
-Test(answer_sampler, nothing_goes_to_the_candidate_without_a_directive) {
+Test(answer_sampler, sends_nothing_to_the_candidate_without_a_directive) {
   const AnswerSampler sampler = MakeSampler();
   const VersionSplit split = sampler.Splits(kStart).at(kService);
-  cr_expect(!split.Allows(kNew));
-  cr_expect(split.Allows(kOld));
+  cr_expect(!split.Allows(kCandidateVersion));
+  cr_expect(split.Allows(kStableVersion));
 }
 
 // Guards against a host that is cut off from the owner and goes on exposing
 // its callers to a version that has been found bad meanwhile.
-Test(answer_sampler, a_directive_holds_only_for_a_while) {
+Test(answer_sampler, a_directive_expires) {
   AnswerSampler sampler = MakeSampler();
   sampler.MakeReport(kOwner, kStart);
-  sampler.OnReported(kOwner, Directive(300), kStart);
+  sampler.OnReportReply(kOwner, MakeReply(300), kStart);
   const auto share = [&](TimePoint at) {
     return sampler.Splits(at).at(kService).candidate_share;
   };
@@ -57,60 +57,63 @@
   cr_expect(share(kStart + milliseconds(1000)) == 0);
 }
 
-Test(answer_sampler, a_directive_of_another_owner_or_order_is_ignored) {
+Test(answer_sampler, a_directive_of_another_owner_or_rollout_is_ignored) {
   AnswerSampler sampler = MakeSampler();
-  sampler.OnReported(HostId("c2"), Directive(300), kStart);
+  sampler.OnReportReply(HostId("c2"), MakeReply(300), kStart);
   cr_expect(sampler.Splits(kStart).at(kService).candidate_share == 0);
-  sampler.SetRollouts(std::vector{Record(2)});
-  sampler.OnReported(kOwner, Directive(300), kStart);
+  sampler.SetRollouts(std::vector{MakeRecord(2)});
+  sampler.OnReportReply(kOwner, MakeReply(300), kStart);
   cr_expect(sampler.Splits(kStart).at(kService).candidate_share == 0);
 }
 
-Test(answer_sampler, an_ended_roll_out_decides_without_any_directive) {
+Test(answer_sampler, an_ended_rollout_sets_the_split_without_a_directive) {
   AnswerSampler sampler = MakeSampler();
-  RolloutRecord record = Record();
+  RolloutRecord record = MakeRecord();
   record.state = RolloutState::kCompleted;
   sampler.SetRollouts(std::vector{record});
-  cr_expect(sampler.Splits(kStart).at(kService).Allows(kNew));
-  cr_expect(!sampler.Splits(kStart).at(kService).Allows(kOld));
+  cr_expect(sampler.Splits(kStart).at(kService).Allows(kCandidateVersion));
+  cr_expect(!sampler.Splits(kStart).at(kService).Allows(kStableVersion));
   record.state = RolloutState::kRolledBack;
   sampler.SetRollouts(std::vector{record});
-  cr_expect(!sampler.Splits(kStart).at(kService).Allows(kNew));
-  cr_expect(sampler.Splits(kStart).at(kService).Allows(kOld));
+  cr_expect(!sampler.Splits(kStart).at(kService).Allows(kCandidateVersion));
+  cr_expect(sampler.Splits(kStart).at(kService).Allows(kStableVersion));
   cr_expect(!sampler.is_active());
 }
 
-Test(answer_sampler, a_report_counts_both_versions_and_what_still_runs) {
+Test(answer_sampler, a_report_counts_both_versions_and_attempts_in_flight) {
   AnswerSampler sampler = MakeSampler();
-  const SampledAttempt old = sampler.OnSent(kService, kOld);
-  const SampledAttempt other = sampler.OnSent(kService, kOld);
-  const SampledAttempt fresh = sampler.OnSent(kService, kNew);
-  sampler.OnAnswered(old, TargetId("t1"), "r", milliseconds(5));
-  sampler.OnFailed(fresh, TargetId("t2"), "r");
+  const SampledAttempt answered = sampler.OnSent(kService, kStableVersion);
+  const SampledAttempt unanswered = sampler.OnSent(kService, kStableVersion);
+  const SampledAttempt failed = sampler.OnSent(kService, kCandidateVersion);
+  sampler.OnAnswered(answered, TargetId("t1"), "r", milliseconds(5));
+  sampler.OnFailed(failed, TargetId("t2"), "r");
   const RolloutReport report = sampler.MakeReport(kOwner, kStart);
   cr_assert(report.rollouts.size() == 1);
   const RolloutProgress& progress = report.rollouts[0];
   cr_expect(progress.sent == 3 && progress.sent_to_candidate == 1);
   cr_expect(progress.stable_in_flight == 1);
   cr_expect(progress.answers.size() == 2);
-  sampler.OnEnded(other);
+  sampler.OnEnded(unanswered);
   cr_expect(sampler.MakeReport(kOwner, kStart).rollouts[0].stable_in_flight ==
             0);
 }
 
 // Guards against answers that are lost, or counted twice, with a report whose
 // reply doesn't come.
-Test(answer_sampler, answers_are_repeated_under_their_number_until_replied_to) {
+Test(answer_sampler,
+     unacknowledged_answers_are_repeated_under_the_same_number) {
   AnswerSampler sampler = MakeSampler();
-  sampler.OnFailed(sampler.OnSent(kService, kNew), TargetId("t2"), "r");
+  sampler.OnFailed(sampler.OnSent(kService, kCandidateVersion), TargetId("t2"),
+                   "r");
   const RolloutReport first = sampler.MakeReport(kOwner, kStart);
-  sampler.OnFailed(sampler.OnSent(kService, kNew), TargetId("t2"), "r");
+  sampler.OnFailed(sampler.OnSent(kService, kCandidateVersion), TargetId("t2"),
+                   "r");
   const RolloutReport second = sampler.MakeReport(kOwner, kStart);
   cr_expect(second.answers_number == first.answers_number);
   cr_expect(second.sequence > first.sequence);
   cr_expect(second.rollouts[0].answers == first.rollouts[0].answers);
   cr_expect(second.rollouts[0].sent == 2);
-  sampler.OnReported(kOwner, {}, kStart);
+  sampler.OnReportReply(kOwner, {}, kStart);
   const RolloutReport third = sampler.MakeReport(kOwner, kStart);
   cr_expect(third.answers_number > second.answers_number);
   cr_assert(third.rollouts[0].answers.size() == 1);
@@ -122,17 +125,18 @@
 Test(answer_sampler, an_expired_directive_is_not_confirmed) {
   AnswerSampler sampler = MakeSampler();
   sampler.MakeReport(kOwner, kStart);
-  sampler.OnReported(kOwner, Directive(1000, false), kStart);
-  cr_expect(sampler.MakeReport(kOwner, kStart).rollouts[0].directive == 5);
-  cr_expect(
-      sampler.MakeReport(kOwner, kStart + seconds(2)).rollouts[0].directive ==
-      0);
+  sampler.OnReportReply(kOwner, MakeReply(1000, false), kStart);
+  cr_expect(sampler.MakeReport(kOwner, kStart).rollouts[0].directive_sequence ==
+            5);
+  cr_expect(sampler.MakeReport(kOwner, kStart + seconds(2))
+                .rollouts[0]
+                .directive_sequence == 0);
 }
 
-Test(answer_sampler, an_attempt_of_an_earlier_order_is_not_counted) {
+Test(answer_sampler, an_attempt_of_an_earlier_rollout_is_not_counted) {
   AnswerSampler sampler = MakeSampler();
-  const SampledAttempt attempt = sampler.OnSent(kService, kOld);
-  sampler.SetRollouts(std::vector{Record(2)});
+  const SampledAttempt attempt = sampler.OnSent(kService, kStableVersion);
+  sampler.SetRollouts(std::vector{MakeRecord(2)});
   sampler.OnAnswered(attempt, TargetId("t1"), "r", milliseconds(5));
   const RolloutReport report = sampler.MakeReport(kOwner, kStart);
   cr_expect(report.rollouts[0].sent == 0);
--- a/knapweedroad/rollout/rollout_controller.h
+++ b/knapweedroad/rollout/rollout_controller.h
@@ -34,8 +34,8 @@
 
 enum class RolloutPhase : uint8_t {
   kCanary,
-  kFull,     // all first attempts go to the candidate
-  kSealing,  // nothing goes to the stable version any more
+  kFull,      // all first attempts go to the candidate
+  kDraining,  // nothing goes to the stable version any more
   kEnded,
 };
 
@@ -51,21 +51,21 @@
 struct RolloutControllerOptions {
   RolloutRecord record;
   // By this host's clock.
-  TimePoint ordered;
+  TimePoint ordered_at;
   TimePoint deadline;
   ExposureBound exposure;
   VersionComparisonOptions comparison;
 };
 
 // What the owner knows besides reports.
-struct RolloutView {
+struct FleetState {
   std::span<const HostId> entry_hosts;
   // Slots of targets that serve and are warm.
   size_t candidate_slots = 0;
   size_t stable_slots = 0;
 };
 
-struct RolloutEnd {
+struct RolloutDecision {
   RolloutState state = RolloutState::kRunning;
   // A plain word, for the log.
   std::string_view cause;
@@ -80,77 +80,81 @@
   void OnReport(const HostId& host,
                 uint64_t epoch,
                 const RolloutProgress& progress,
-                bool repeated,
+                bool is_repeated,
                 TimePoint now);
 
   // Called every 100 ms or so.
-  void Tick(const RolloutView& view, TimePoint now);
+  void Tick(const FleetState& fleet, TimePoint now);
 
   const RolloutRecord& record() const { return this->options.record; }
-  RolloutPhase phase() const { return this->current; }
-  const RolloutDirective& directive() const { return this->told; }
+  RolloutPhase phase() const { return this->current_phase; }
+  const RolloutDirective& directive() const { return this->current_directive; }
   // When entry hosts are to report next.
   Duration ReportInterval(TimePoint now) const;
   // Nothing while it runs.
-  const std::optional<RolloutEnd>& end() const { return this->ended; }
+  const std::optional<RolloutDecision>& decision() const {
+    return this->final_decision;
+  }
 
   // Attempts on the service, and those of them on the candidate, as reported.
   uint64_t sent() const { return this->totals.sent; }
   uint64_t sent_to_candidate() const { return this->totals.to_candidate; }
-  const VersionComparison& comparison() const { return this->answers; }
+  const VersionComparison& comparison() const {
+    return this->version_comparison;
+  }
 
  private:
-  struct Counts {
+  struct AttemptCounts {
     uint64_t sent = 0;
     uint64_t to_candidate = 0;
   };
 
   struct Reporter {
     uint64_t epoch = 0;
-    Counts counts;
-    uint64_t directive = 0;
+    AttemptCounts counts;
+    uint64_t directive_sequence = 0;
     uint32_t stable_in_flight = 0;
-    TimePoint heard;
+    TimePoint last_report_at;
   };
 
-  void Direct(uint32_t candidate_permille, bool allows_stable);
-  void Enter(RolloutPhase phase, TimePoint now);
-  void End(RolloutState state, std::string_view cause);
-  void MeasureRate(TimePoint now);
+  void SetDirective(uint32_t candidate_permille, bool allows_stable);
+  void EnterPhase(RolloutPhase phase, TimePoint now);
+  void Decide(RolloutState state, std::string_view cause);
+  void UpdateRate(TimePoint now);
   // The most that the candidate may get until the deadline.
-  double Allowed(TimePoint now) const;
-  bool IsWorse() const;
-  bool HasRoom(const RolloutView& view) const;
-  TimePoint FullWanted() const;
-  bool MayGoFull(const RolloutView& view, TimePoint now) const;
-  void SetCanaryShare(TimePoint now);
-  void TickCanary(const RolloutView& view, TimePoint now);
-  void TickFull(const RolloutView& view, TimePoint now);
-  void TickSealing(const RolloutView& view, TimePoint now);
+  double ExposureLimit(TimePoint now) const;
+  bool IsCandidateWorse() const;
+  bool HasCandidateCapacity(const FleetState& fleet) const;
+  TimePoint FullPhaseStart() const;
+  bool CanEnterFullPhase(const FleetState& fleet, TimePoint now) const;
+  void UpdateCanaryShare(TimePoint now);
+  void TickCanary(const FleetState& fleet, TimePoint now);
+  void TickFull(const FleetState& fleet, TimePoint now);
+  void TickDraining(const FleetState& fleet, TimePoint now);
   // Whether all entry hosts that can be heard follow the directive in force.
-  bool IsConfirmed(const RolloutView& view, TimePoint now) const;
+  bool IsDirectiveConfirmed(const FleetState& fleet, TimePoint now) const;
   bool IsStableIdle() const;
   Duration duration() const {
-    return this->options.deadline - this->options.ordered;
+    return this->options.deadline - this->options.ordered_at;
   }
 
   RolloutControllerOptions options;
-  VersionComparison answers;
+  VersionComparison version_comparison;
   std::map<HostId, Reporter> reporters;
-  Counts totals;
-  TimePoint started;
+  AttemptCounts totals;
+  TimePoint started_at;
   // Attempts a second: lately, and as reckoned with.
   double recent_rate = 0;
-  double rate = 0;
-  uint64_t measured_sent = 0;
-  TimePoint measured_at;
-  RolloutPhase current = RolloutPhase::kCanary;
-  TimePoint entered;
+  double expected_rate = 0;
+  uint64_t sent_at_measurement = 0;
+  TimePoint rate_measured_at;
+  RolloutPhase current_phase = RolloutPhase::kCanary;
+  TimePoint phase_entered_at;
   // Since when all hosts have followed the directive of the phase.
-  std::optional<TimePoint> confirmed;
+  std::optional<TimePoint> confirmed_at;
   size_t answers_before_full = 0;
-  RolloutDirective told;
-  std::optional<RolloutEnd> ended;
+  RolloutDirective current_directive;
+  std::optional<RolloutDecision> final_decision;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/rollout/rollout_controller_test.cc
+++ b/knapweedroad/rollout/rollout_controller_test.cc
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-#include "knapweedroad/rollout/rollout_model.h"
+#include "knapweedroad/rollout/rollout_simulation.h"
 
 namespace knapweedroad {
 namespace {
@@ -13,40 +13,42 @@
 constexpr uint64_t kSeeds = 6;
 const double kRates[] = {2, 20, 100, 400};
 
-void ExpectWithinBounds(const RolloutModelResult& result,
+void ExpectWithinBounds(const RolloutSimulationResult& result,
                         double rate,
                         uint64_t seed) {
-  constexpr double kRollbackS = 5;
-  cr_expect(static_cast<double>(result.exposed) <= result.allowed,
-            "rate %g seed %lu: %lu of %lu exposed", rate, seed, result.exposed,
-            result.sent);
-  cr_expect(result.last_after_50th_s <= kRollbackS, "rate %g seed %lu: %g s",
-            rate, seed, result.last_after_50th_s);
-  cr_expect(result.stable_after_end == 0, "rate %g seed %lu: %lu", rate, seed,
-            result.stable_after_end);
+  constexpr double kMaxRollbackSeconds = 5;
+  cr_expect(
+      static_cast<double>(result.sent_to_candidate) <= result.exposure_limit,
+      "rate %g seed %lu: %lu of %lu exposed", rate, seed,
+      result.sent_to_candidate, result.sent);
+  cr_expect(result.last_sent_after_50th_bad_s <= kMaxRollbackSeconds,
+            "rate %g seed %lu: %g s", rate, seed,
+            result.last_sent_after_50th_bad_s);
+  cr_expect(result.stable_attempts_after_end == 0, "rate %g seed %lu: %lu",
+            rate, seed, result.stable_attempts_after_end);
 }
 
 // In doubt a good version may take a little longer than its deadline.
-Test(rollout_controller, a_good_version_is_complete_by_its_deadline) {
-  constexpr int kMostLate = 2;
+Test(rollout_controller, a_good_version_completes_by_its_deadline) {
+  constexpr int kMaxLate = 2;
   int late = 0;
   for (const double rate : kRates) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const RolloutModelResult result =
-          RunRolloutModel({.rate = rate, .seed = seed});
+      const RolloutSimulationResult result =
+          RunRolloutSimulation({.rate = rate, .seed = seed});
       cr_expect(result.state == RolloutState::kCompleted, "rate %g seed %lu %s",
                 rate, seed, result.cause.c_str());
-      late += result.ended > seconds(12) ? 1 : 0;
+      late += result.ended_after > seconds(12) ? 1 : 0;
       ExpectWithinBounds(result, rate, seed);
     }
   }
-  cr_expect(late <= kMostLate, "%d", late);
+  cr_expect(late <= kMaxLate, "%d", late);
 }
 
 void ExpectRolledBack(const CandidateFault& fault, double rate) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const RolloutModelResult result =
-        RunRolloutModel({.rate = rate, .fault = fault, .seed = seed});
+    const RolloutSimulationResult result =
+        RunRolloutSimulation({.rate = rate, .fault = fault, .seed = seed});
     cr_expect(result.state == RolloutState::kRolledBack, "rate %g seed %lu",
               rate, seed);
     ExpectWithinBounds(result, rate, seed);
@@ -55,7 +57,7 @@
 
 // Guards against the exposure of callers to a version that fails from the
 // start, in part or on one route only.
-Test(rollout_controller, a_version_that_fails_is_rolled_back) {
+Test(rollout_controller, a_failing_version_is_rolled_back) {
   for (const double rate : {20.0, 100.0, 400.0}) {
     ExpectRolledBack({.share = 0.4}, rate);
   }
@@ -64,41 +66,43 @@
   }
 }
 
-Test(rollout_controller,
-     a_version_that_is_several_times_slower_is_rolled_back) {
+Test(rollout_controller, a_much_slower_version_is_rolled_back) {
   for (const double rate : {20.0, 100.0, 400.0}) {
-    ExpectRolledBack({.share = 0.7, .slow = 5}, rate);
+    ExpectRolledBack({.share = 0.7, .slow_factor = 5}, rate);
   }
 }
 
 // Guards against a fault that begins after the canary has looked well.
-Test(rollout_controller, a_version_that_turns_bad_late_keeps_to_the_bound) {
-  for (const Duration from : {seconds(5), seconds(8), seconds(10)}) {
+Test(rollout_controller,
+     a_version_that_fails_late_is_rolled_back_within_the_bound) {
+  for (const Duration starts_after : {seconds(5), seconds(8), seconds(10)}) {
     for (const double rate : {20.0, 100.0, 400.0}) {
-      ExpectRolledBack({.share = 0.5, .from = from}, rate);
+      ExpectRolledBack({.share = 0.5, .starts_after = starts_after}, rate);
     }
   }
 }
 
 // Guards against a fault that shows only while a target has its full share of
 // the requests, which a canary doesn't give it.
-Test(rollout_controller, a_version_that_is_bad_under_load_is_rolled_back) {
+Test(rollout_controller, a_version_that_fails_under_load_is_rolled_back) {
   for (const double rate : {100.0, 400.0}) {
-    ExpectRolledBack({.share = 0.6, .above_rate = rate / 3 * 0.6}, rate);
+    ExpectRolledBack({.share = 0.6, .min_target_rate = rate / 3 * 0.6}, rate);
   }
 }
 
 // Guards against more exposure than the bound allows by a version that turns
 // bad when it is too late to find out.
-Test(rollout_controller, whatever_happens_late_the_bound_holds) {
+Test(rollout_controller,
+     a_fault_just_before_the_deadline_stays_within_the_bound) {
   for (const double rate : kRates) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const RolloutModelResult result = RunRolloutModel(
+      const RolloutSimulationResult result = RunRolloutSimulation(
           {.rate = rate,
-           .fault = {.share = 0.6, .from = milliseconds(11'700)},
+           .fault = {.share = 0.6, .starts_after = milliseconds(11'700)},
            .seed = seed});
-      cr_expect(static_cast<double>(result.exposed) <= result.allowed,
-                "rate %g seed %lu: %lu", rate, seed, result.exposed);
+      cr_expect(static_cast<double>(result.sent_to_candidate) <=
+                    result.exposure_limit,
+                "rate %g seed %lu: %lu", rate, seed, result.sent_to_candidate);
     }
   }
 }
@@ -106,60 +110,63 @@
 // Guards against hosts that go on sending to the old version after it has been
 // stopped: those that are cut off must not hold up the others for ever, and
 // the others must have confirmed.
-Test(rollout_controller, hosts_that_cannot_be_reached_are_not_waited_for) {
+Test(rollout_controller, unreachable_hosts_do_not_block_completion) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const RolloutModelResult result =
-        RunRolloutModel({.lost_reports = 0.1, .cut_hosts = 3, .seed = seed});
+    const RolloutSimulationResult result = RunRolloutSimulation(
+        {.lost_report_share = 0.1, .isolated_hosts = 3, .seed = seed});
     cr_expect(result.state == RolloutState::kCompleted, "seed %lu", seed);
-    cr_expect(result.stable_after_end == 0, "seed %lu: %lu", seed,
-              result.stable_after_end);
+    cr_expect(result.stable_attempts_after_end == 0, "seed %lu: %lu", seed,
+              result.stable_attempts_after_end);
   }
 }
 
-Test(rollout_controller, trouble_of_one_target_does_not_end_a_good_roll_out) {
+Test(rollout_controller,
+     a_fault_of_one_target_does_not_roll_back_a_good_version) {
   size_t completed = 0;
   for (uint64_t seed = 1; seed <= 12; ++seed) {
-    const RolloutModelResult result =
-        RunRolloutModel({.trouble = {.hits_candidate = seed % 2 == 0,
-                                     .hits_stable = seed % 2 != 0},
-                         .seed = seed});
+    const RolloutSimulationResult result = RunRolloutSimulation(
+        {.target_fault = {.affects_candidate = seed % 2 == 0,
+                          .affects_stable = seed % 2 != 0},
+         .seed = seed});
     completed += result.state == RolloutState::kCompleted ? 1 : 0;
   }
   cr_expect(completed >= 10, "%zu", completed);
 }
 
 // Guards against a service without any target: the candidate's never came.
-Test(rollout_controller, without_targets_of_the_version_it_is_rolled_back) {
-  const RolloutModelResult result =
-      RunRolloutModel({.candidate_warm = seconds(3600)});
+Test(rollout_controller, a_version_without_targets_is_rolled_back) {
+  const RolloutSimulationResult result =
+      RunRolloutSimulation({.candidate_warm_after = seconds(3600)});
   cr_expect(result.state == RolloutState::kRolledBack);
   cr_expect(result.cause == "too_few_targets");
-  cr_expect(result.exposed == 0);
+  cr_expect(result.sent_to_candidate == 0);
 }
 
-Test(rollout_controller, a_report_of_an_earlier_order_changes_nothing) {
+Test(rollout_controller, a_report_of_an_earlier_rollout_is_ignored) {
   RolloutController controller(
       {.record = {.service = ServiceId("s"), .number = 2},
-       .ordered = TimePoint(seconds(10)),
+       .ordered_at = TimePoint(seconds(10)),
        .deadline = TimePoint(seconds(20))},
       TimePoint(seconds(10)));
-  controller.OnReport(HostId("e"), 1,
-                      {.service = ServiceId("s"), .number = 1, .sent = 50},
-                      /*repeated=*/false, TimePoint(seconds(11)));
+  controller.OnReport(
+      HostId("e"), 1,
+      {.service = ServiceId("s"), .rollout_number = 1, .sent = 50},
+      /*is_repeated=*/false, TimePoint(seconds(11)));
   cr_expect(controller.sent() == 0);
 }
 
 // Guards against counts that go wrong when an entry host starts anew.
-Test(rollout_controller, counts_go_on_over_a_restart_of_an_entry_host) {
+Test(rollout_controller, counts_continue_after_an_entry_host_restarts) {
   RolloutController controller(
       {.record = {.service = ServiceId("s"), .number = 1},
-       .ordered = TimePoint(seconds(10)),
+       .ordered_at = TimePoint(seconds(10)),
        .deadline = TimePoint(seconds(20))},
       TimePoint(seconds(10)));
   const auto report = [&](uint64_t epoch, uint64_t sent) {
-    controller.OnReport(HostId("e"), epoch,
-                        {.service = ServiceId("s"), .number = 1, .sent = sent},
-                        /*repeated=*/false, TimePoint(seconds(11)));
+    controller.OnReport(
+        HostId("e"), epoch,
+        {.service = ServiceId("s"), .rollout_number = 1, .sent = sent},
+        /*is_repeated=*/false, TimePoint(seconds(11)));
   };
   report(1, 50);
   report(1, 70);
--- a/knapweedroad/rollout/rollout_messages.h
+++ b/knapweedroad/rollout/rollout_messages.h
@@ -36,9 +36,9 @@
 struct RolloutProgress {
   ServiceId service;
   // RolloutRecord::number.
-  uint64_t number = 0;
+  uint64_t rollout_number = 0;
   // The directive that the host follows; zero: none, its last one has expired.
-  uint64_t directive = 0;
+  uint64_t directive_sequence = 0;
   // Attempts sent since the host has heard of the order, and those of them
   // that went to the candidate.
   uint64_t sent = 0;
@@ -54,8 +54,9 @@
   // For cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(this->service, this->number, this->directive, this->sent,
-            this->sent_to_candidate, this->stable_in_flight, this->answers);
+    archive(this->service, this->rollout_number, this->directive_sequence,
+            this->sent, this->sent_to_candidate, this->stable_in_flight,
+            this->answers);
   }
 };
 
@@ -83,9 +84,9 @@
 struct RolloutDirective {
   ServiceId service;
   // RolloutRecord::number.
-  uint64_t number = 0;
+  uint64_t rollout_number = 0;
   // Rises with each change.
-  uint64_t directive = 0;
+  uint64_t sequence = 0;
   // Share of first attempts that the candidate gets, in thousandths.
   uint32_t candidate_permille = 0;
   // Whether anything may still go to the stable version.
@@ -98,7 +99,7 @@
   // For cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(this->service, this->number, this->directive,
+    archive(this->service, this->rollout_number, this->sequence,
             this->candidate_permille, this->allows_stable, this->valid_ms);
   }
 };
--- a/knapweedroad/rollout/rollout_orders.cc
+++ b/knapweedroad/rollout/rollout_orders.cc
@@ -5,9 +5,9 @@
 namespace knapweedroad {
 namespace {
 
-constexpr size_t kMostReplacedOrders = 8;
+constexpr size_t kMaxReplacedOrders = 8;
 
-bool IsWithin(int64_t ordered_ms, const RolloutRequest& request) {
+bool IsWithinResendWindow(int64_t ordered_ms, const RolloutRequest& request) {
   const auto window =
       std::chrono::floor<std::chrono::milliseconds>(request.resend_window)
           .count();
@@ -17,23 +17,23 @@
 bool IsResend(const RolloutRecord& record, const RolloutRequest& request) {
   if (record.candidate == request.candidate) {
     return record.state != RolloutState::kRolledBack ||
-           IsWithin(record.ordered_ms, request);
+           IsWithinResendWindow(record.ordered_ms, request);
   }
-  return std::ranges::any_of(record.replaced,
-                             [&](const RolloutOrder& replaced) {
-                               return replaced.candidate == request.candidate &&
-                                      IsWithin(replaced.ordered_ms, request);
-                             });
+  return std::ranges::any_of(
+      record.replaced, [&](const ReplacedOrder& replaced) {
+        return replaced.candidate == request.candidate &&
+               IsWithinResendWindow(replaced.ordered_ms, request);
+      });
 }
 
 // The version to go back to: after a completed roll-out its candidate, else
 // what was in force before.
-VersionId VersionInForce(const RolloutRecord& record) {
+VersionId VersionInUse(const RolloutRecord& record) {
   return record.state == RolloutState::kCompleted ? record.candidate
                                                   : record.stable;
 }
 
-void Start(RolloutRecord& record, const RolloutRequest& request) {
+void StartRollout(RolloutRecord& record, const RolloutRequest& request) {
   ++record.number;
   record.candidate = request.candidate;
   record.state = record.stable == request.candidate ? RolloutState::kCompleted
@@ -44,28 +44,28 @@
   record.owner = request.owner;
 }
 
-void KeepReplaced(RolloutRecord& record) {
+void AppendReplaced(RolloutRecord& record) {
   record.replaced.push_back(
       {.candidate = record.candidate, .ordered_ms = record.ordered_ms});
-  if (record.replaced.size() > kMostReplacedOrders) {
+  if (record.replaced.size() > kMaxReplacedOrders) {
     record.replaced.erase(record.replaced.begin());
   }
 }
 
-void ForgetOldest(std::vector<RolloutRecord>& rollouts) {
+void RemoveOldestEnded(std::vector<RolloutRecord>& rollouts) {
   const auto is_ended = [](const RolloutRecord& record) {
     return record.state != RolloutState::kRunning;
   };
   if (static_cast<size_t>(std::ranges::count_if(rollouts, is_ended)) <=
-      kMostEndedRollouts) {
+      kMaxEndedRollouts) {
     return;
   }
   auto oldest = rollouts.end();
-  for (auto at = rollouts.begin(); at != rollouts.end(); ++at) {
+  for (auto record = rollouts.begin(); record != rollouts.end(); ++record) {
     const bool is_older =
-        oldest == rollouts.end() || at->ordered_ms < oldest->ordered_ms;
-    if (is_ended(*at) && is_older) {
-      oldest = at;
+        oldest == rollouts.end() || record->ordered_ms < oldest->ordered_ms;
+    if (is_ended(*record) && is_older) {
+      oldest = record;
     }
   }
   rollouts.erase(oldest);
@@ -73,23 +73,24 @@
 
 }  // namespace
 
-void PlaceOrder(std::vector<RolloutRecord>& rollouts,
+void ApplyOrder(std::vector<RolloutRecord>& rollouts,
                 const RolloutRequest& request) {
-  const auto place = std::ranges::lower_bound(rollouts, request.service, {},
-                                              &RolloutRecord::service);
-  if (place == rollouts.end() || place->service != request.service) {
-    RolloutRecord record{.service = request.service, .stable = request.serving};
-    Start(record, request);
-    rollouts.insert(place, std::move(record));
-    ForgetOldest(rollouts);
+  const auto position = std::ranges::lower_bound(rollouts, request.service, {},
+                                                 &RolloutRecord::service);
+  if (position == rollouts.end() || position->service != request.service) {
+    RolloutRecord record{.service = request.service,
+                         .stable = request.serving_version};
+    StartRollout(record, request);
+    rollouts.insert(position, std::move(record));
+    RemoveOldestEnded(rollouts);
     return;
   }
-  if (IsResend(*place, request)) {
+  if (IsResend(*position, request)) {
     return;
   }
-  place->stable = VersionInForce(*place);
-  KeepReplaced(*place);
-  Start(*place, request);
+  position->stable = VersionInUse(*position);
+  AppendReplaced(*position);
+  StartRollout(*position, request);
 }
 
 void FinishRollout(std::vector<RolloutRecord>& rollouts,
--- a/knapweedroad/rollout/rollout_orders.h
+++ b/knapweedroad/rollout/rollout_orders.h
@@ -2,7 +2,7 @@
 // these to the agreed value, so each has to give the same result wherever and
 // however often it is applied.
 //
-//   PlaceOrder(state.rollouts, {.service = service, .candidate = v2, ...});
+//   ApplyOrder(state.rollouts, {.service = service, .candidate = v2, ...});
 //   FinishRollout(state.rollouts, service, number, RolloutState::kCompleted);
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ROLLOUT_ORDERS_H_
@@ -20,13 +20,13 @@
 namespace knapweedroad {
 
 // Ended roll-outs that are kept; beyond that the oldest are forgotten.
-inline constexpr size_t kMostEndedRollouts = 2000;
+inline constexpr size_t kMaxEndedRollouts = 2000;
 
 struct RolloutRequest {
   ServiceId service;
   VersionId candidate;
   // The version that serves now, as the control host knows it; empty: unknown.
-  VersionId serving;
+  VersionId serving_version;
   Duration duration{};
   // The control host that takes the order.
   HostId owner;
@@ -38,7 +38,7 @@
 
 // Takes an order. The newest order for a service replaces a running one. An
 // order for the version in force is complete at once.
-void PlaceOrder(std::vector<RolloutRecord>& rollouts,
+void ApplyOrder(std::vector<RolloutRecord>& rollouts,
                 const RolloutRequest& request);
 
 // Ends the roll-out of that number if it runs; else nothing changes.
--- a/knapweedroad/rollout/rollout_record.h
+++ b/knapweedroad/rollout/rollout_record.h
@@ -18,12 +18,12 @@
 };
 
 // An order that was accepted.
-struct RolloutOrder {
+struct ReplacedOrder {
   VersionId candidate;
   // Unix milliseconds, of the control host that accepted it.
   int64_t ordered_ms = 0;
 
-  friend bool operator==(const RolloutOrder&, const RolloutOrder&) = default;
+  friend bool operator==(const ReplacedOrder&, const ReplacedOrder&) = default;
 
   // For cereal.
   template <typename Archive>
@@ -47,7 +47,7 @@
   // The control host that watches the candidate and decides.
   HostId owner;
   // Orders that a later one replaced, oldest first.
-  std::vector<RolloutOrder> replaced;
+  std::vector<ReplacedOrder> replaced;
 
   friend bool operator==(const RolloutRecord&, const RolloutRecord&) = default;
 
--- a/knapweedroad/rollout/version_comparison.cc
+++ b/knapweedroad/rollout/version_comparison.cc
@@ -12,9 +12,9 @@
 
 // With fewer answers of the stable version its median says nothing yet, and no
 // latency counts as slow.
-constexpr double kLeastForMedian = 4;
+constexpr double kMinAnswersForMedian = 4;
 // The first few answers need as much as these.
-constexpr size_t kLeastAnswersForChance = 8;
+constexpr size_t kMinAnswersForThreshold = 8;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     : options(options) {}
 
 void VersionComparison::Add(const AnswerSamples& answers, TimePoint now) {
-  Route& route = this->routes[answers.route];
+  RouteState& route = this->routes[answers.route];
   if (!answers.is_candidate) {
     if (!this->is_stable_frozen) {
       this->AddStable(route, answers, now);
@@ -32,157 +32,164 @@
   this->AddCandidate(route, answers);
 }
 
-void VersionComparison::Fade(Stable& stable, double kept) {
+void VersionComparison::Decay(StableHistory& stable, double factor) {
   for (double& count : stable.counts) {
-    count *= kept;
+    count *= factor;
   }
-  stable.total *= kept;
+  stable.total *= factor;
 }
 
-void VersionComparison::FindSlow(Stable& stable) const {
+void VersionComparison::UpdateSlowThreshold(StableHistory& stable) const {
   const double answered = stable.total - stable.counts[kFailedSample];
-  stable.slow_from = kMostLatencySample;
-  if (answered >= kLeastForMedian) {
-    double below = 0;
-    size_t median = 0;
-    while (median < kMostLatencySample &&
-           (below += stable.counts[median]) * 2 < answered) {
-      ++median;
+  stable.slow_threshold = kMaxLatencySample;
+  if (answered >= kMinAnswersForMedian) {
+    double cumulative = 0;
+    size_t median_sample = 0;
+    while (median_sample < kMaxLatencySample &&
+           (cumulative += stable.counts[median_sample]) * 2 < answered) {
+      ++median_sample;
     }
-    const double slow =
-        static_cast<double>(median) +
-        kSampleStepsADoubling * std::log2(this->options.slow_factor);
-    stable.slow_from = static_cast<uint8_t>(
-        std::min<double>(std::ceil(slow), kMostLatencySample));
+    const double slow_sample =
+        static_cast<double>(median_sample) +
+        kSampleStepsPerDoubling * std::log2(this->options.slow_factor);
+    stable.slow_threshold = static_cast<uint8_t>(
+        std::min<double>(std::ceil(slow_sample), kMaxLatencySample));
   }
-  stable.bad = std::accumulate(stable.counts.begin() + stable.slow_from,
-                               stable.counts.end(), 0.0);
+  stable.bad_total = std::accumulate(
+      stable.counts.begin() + stable.slow_threshold, stable.counts.end(), 0.0);
 }
 
-bool VersionComparison::IsBad(const Stable& stable, uint8_t sample) {
-  return sample >= stable.slow_from && sample != kMostLatencySample;
+bool VersionComparison::IsBad(const StableHistory& stable, uint8_t sample) {
+  return sample >= stable.slow_threshold && sample != kMaxLatencySample;
 }
 
-void VersionComparison::AddStable(Route& route,
+void VersionComparison::AddStable(RouteState& route,
                                   const AnswerSamples& answers,
                                   TimePoint now) {
-  Stable& stable = route.stable;
-  if (stable.faded != TimePoint()) {
-    Fade(stable,
-         std::exp2(-std::chrono::duration<double>(now - stable.faded) /
-                   std::chrono::duration<double>(this->options.half_life)));
+  StableHistory& stable = route.stable;
+  if (stable.decayed_at != TimePoint()) {
+    Decay(stable,
+          std::exp2(
+              -std::chrono::duration<double>(now - stable.decayed_at) /
+              std::chrono::duration<double>(this->options.stable_half_life)));
   }
-  stable.faded = now;
-  const auto count = [&](uint8_t sample) {
+  stable.decayed_at = now;
+  const auto add_sample = [&](uint8_t sample) {
     stable.counts[sample] += 1;
     stable.total += 1;
   };
   for (const char sample : answers.samples) {
-    count(static_cast<uint8_t>(sample));
+    add_sample(static_cast<uint8_t>(sample));
   }
   for (const char waited : answers.given_up) {
     if (IsBad(stable, static_cast<uint8_t>(waited))) {
-      count(static_cast<uint8_t>(waited));
+      add_sample(static_cast<uint8_t>(waited));
     }
   }
-  this->FindSlow(stable);
+  this->UpdateSlowThreshold(stable);
 }
 
-double VersionComparison::StableShare(const Stable& stable) const {
+double VersionComparison::StableBadShare(const StableHistory& stable) const {
   // One good and no bad answer more than were seen: a share of few answers
   // proves little.
-  const double share = stable.bad / (stable.total + 1);
-  return std::max(share, this->options.least_stable_share);
+  const double share = stable.bad_total / (stable.total + 1);
+  return std::max(share, this->options.min_stable_bad_share);
 }
 
-void VersionComparison::Move(Evidence& evidence,
-                             const TargetId& target,
-                             double by) {
+void VersionComparison::AddEvidence(Evidence& evidence,
+                                    const TargetId& target,
+                                    double log_likelihood_ratio) {
   // A target's first answer: all sums without it have been those of the others.
   ++evidence.answers;
-  evidence.without.try_emplace(target, evidence.sum);
-  evidence.sum = std::max(0.0, evidence.sum + by);
-  for (auto& [other, sum] : evidence.without) {
+  evidence.sums_without_target.try_emplace(target, evidence.sum);
+  evidence.sum = std::max(0.0, evidence.sum + log_likelihood_ratio);
+  for (auto& [other, sum] : evidence.sums_without_target) {
     if (other != target) {
-      sum = std::max(0.0, sum + by);
+      sum = std::max(0.0, sum + log_likelihood_ratio);
     }
   }
 }
 
-double VersionComparison::Against(const Evidence& evidence) {
-  if (evidence.without.size() < 2) {
+double VersionComparison::SumWithoutWorstTarget(const Evidence& evidence) {
+  if (evidence.sums_without_target.size() < 2) {
     return evidence.sum;
   }
-  double least = evidence.sum;
-  for (const auto& [target, sum] : evidence.without) {
-    least = std::min(least, sum);
+  double min_sum = evidence.sum;
+  for (const auto& [target, sum] : evidence.sums_without_target) {
+    min_sum = std::min(min_sum, sum);
   }
-  return least;
+  return min_sum;
 }
 
-double VersionComparison::Enough(const Evidence& evidence) const {
-  return this->options.enough + std::log(static_cast<double>(std::max(
-                                    evidence.answers, kLeastAnswersForChance)));
+double VersionComparison::EvidenceThreshold(const Evidence& evidence) const {
+  return this->options.base_threshold +
+         std::log(static_cast<double>(
+             std::max(evidence.answers, kMinAnswersForThreshold)));
 }
 
-void VersionComparison::CountCandidate(Route& route,
-                                       const TargetId& target,
-                                       bool is_bad) {
-  ++route.candidate;
-  ++this->candidate_count;
-  route.candidate_bad += is_bad ? 1 : 0;
-  this->candidate_bad_count += is_bad ? 1 : 0;
-  const double usual = this->StableShare(route.stable);
-  const double worse_share = std::clamp(usual * this->options.worse_factor,
-                                        this->options.least_worse_share,
-                                        this->options.most_worse_share);
-  if (worse_share <= usual) {
+void VersionComparison::CountCandidateAnswer(RouteState& route,
+                                             const TargetId& target,
+                                             bool is_bad) {
+  ++route.candidate_answers;
+  ++this->candidate_total;
+  route.candidate_bad_answers += is_bad ? 1 : 0;
+  this->candidate_bad_total += is_bad ? 1 : 0;
+  const double stable_bad_share = this->StableBadShare(route.stable);
+  const double worse_bad_share = std::clamp(
+      stable_bad_share * this->options.worse_factor,
+      this->options.min_worse_bad_share, this->options.max_worse_bad_share);
+  if (worse_bad_share <= stable_bad_share) {
     return;
   }
-  const double by = is_bad ? std::log(worse_share / usual)
-                           : std::log((1 - worse_share) / (1 - usual));
-  Move(route.evidence, target, by);
-  Move(this->all, target, by);
-  this->worse = this->worse ||
-                Against(route.evidence) >= this->Enough(route.evidence) ||
-                Against(this->all) >= this->Enough(this->all);
+  const double log_likelihood_ratio =
+      is_bad ? std::log(worse_bad_share / stable_bad_share)
+             : std::log((1 - worse_bad_share) / (1 - stable_bad_share));
+  AddEvidence(route.evidence, target, log_likelihood_ratio);
+  AddEvidence(this->all_routes, target, log_likelihood_ratio);
+  this->is_candidate_worse = this->is_candidate_worse ||
+                             SumWithoutWorstTarget(route.evidence) >=
+                                 this->EvidenceThreshold(route.evidence) ||
+                             SumWithoutWorstTarget(this->all_routes) >=
+                                 this->EvidenceThreshold(this->all_routes);
 }
 
-void VersionComparison::AddCandidate(Route& route,
+void VersionComparison::AddCandidate(RouteState& route,
                                      const AnswerSamples& answers) {
-  for (const char each : answers.samples) {
-    const auto sample = static_cast<uint8_t>(each);
-    this->CountCandidate(route, answers.target, IsBad(route.stable, sample));
+  for (const char byte : answers.samples) {
+    const auto sample = static_cast<uint8_t>(byte);
+    this->CountCandidateAnswer(route, answers.target,
+                               IsBad(route.stable, sample));
   }
   // One that was given up soon might have been a good answer.
   for (const char waited : answers.given_up) {
     if (IsBad(route.stable, static_cast<uint8_t>(waited))) {
-      this->CountCandidate(route, answers.target, /*is_bad=*/true);
+      this->CountCandidateAnswer(route, answers.target, /*is_bad=*/true);
     }
   }
 }
 
-bool VersionComparison::is_clear() const {
-  const auto is_clear = [this](const Evidence& evidence) {
-    return Against(evidence) < this->Enough(evidence) / 2;
+bool VersionComparison::is_evidence_weak() const {
+  const auto is_evidence_weak = [this](const Evidence& evidence) {
+    return SumWithoutWorstTarget(evidence) <
+           this->EvidenceThreshold(evidence) / 2;
   };
-  return !this->worse && is_clear(this->all) &&
+  return !this->is_candidate_worse && is_evidence_weak(this->all_routes) &&
          std::ranges::all_of(this->routes, [&](const auto& entry) {
-           return is_clear(entry.second.evidence);
+           return is_evidence_weak(entry.second.evidence);
          });
 }
 
 std::string VersionComparison::Describe() const {
   std::ostringstream text;
   for (const auto& [name, route] : this->routes) {
-    text << name << "(candidate:" << route.candidate
-         << ",bad:" << route.candidate_bad
+    text << name << "(candidate:" << route.candidate_answers
+         << ",bad:" << route.candidate_bad_answers
          << ",stable:" << std::llround(route.stable.total)
-         << ",bad:" << std::llround(route.stable.bad)
-         << ",against:" << std::llround(Against(route.evidence) * 10)
-         << "e-1) ";
+         << ",bad:" << std::llround(route.stable.bad_total) << ",against:"
+         << std::llround(SumWithoutWorstTarget(route.evidence) * 10) << "e-1) ";
   }
-  text << "against:" << std::llround(Against(this->all) * 10) << "e-1";
+  text << "against:"
+       << std::llround(SumWithoutWorstTarget(this->all_routes) * 10) << "e-1";
   return std::move(text).str();
 }
 
--- a/knapweedroad/rollout/version_comparison.h
+++ b/knapweedroad/rollout/version_comparison.h
@@ -30,19 +30,19 @@
   // same route is a bad one, as a failure is.
   double slow_factor = 2.5;
   // The least share of bad answers that the stable version is taken to have.
-  double least_stable_share = 0.04;
+  double min_stable_bad_share = 0.04;
   // A worse version has this many times the stable one's share of bad answers,
   // within these bounds.
   double worse_factor = 3;
-  double least_worse_share = 0.3;
-  double most_worse_share = 0.9;
+  double min_worse_bad_share = 0.3;
+  double max_worse_bad_share = 0.9;
   // The sum, a log likelihood ratio, from which on the candidate is worse, is
   // this and the logarithm of the number of its answers: a chance result needs
   // the more the more answers there are. Of several targets the one that speaks
   // most against the candidate is left out: it may be ill by itself.
-  double enough = 1.5;
+  double base_threshold = 1.5;
   // What is known of the stable version is half forgotten after this.
-  Duration half_life = std::chrono::seconds(4);
+  Duration stable_half_life = std::chrono::seconds(4);
 };
 
 class VersionComparison {
@@ -53,67 +53,73 @@
 
   // While it is on, what comes of the stable version changes nothing: it has
   // too few requests to be compared with.
-  void FreezeStable(bool is_frozen) { this->is_stable_frozen = is_frozen; }
+  void SetStableFrozen(bool is_frozen) { this->is_stable_frozen = is_frozen; }
 
   // Stays true once it is.
-  bool is_worse() const { return this->worse; }
+  bool is_worse() const { return this->is_candidate_worse; }
 
   // Whether nothing speaks against the candidate at present.
-  bool is_clear() const;
+  bool is_evidence_weak() const;
 
-  size_t candidate_answers() const { return this->candidate_count; }
-  size_t candidate_bad() const { return this->candidate_bad_count; }
+  size_t candidate_answers() const { return this->candidate_total; }
+  size_t candidate_bad_answers() const { return this->candidate_bad_total; }
 
   // The counts of both versions by route, and the sums, for the log.
   std::string Describe() const;
 
  private:
-  static constexpr size_t kSamples = 256;
+  static constexpr size_t kSampleValues = 256;
 
-  struct Stable {
+  struct StableHistory {
     // By sample; they fade.
-    std::array<double, kSamples> counts{};
+    std::array<double, kSampleValues> counts{};
     double total = 0;
-    TimePoint faded;
+    TimePoint decayed_at;
     // The least latency sample that is slow.
-    uint8_t slow_from = 254;
-    double bad = 0;
+    uint8_t slow_threshold = 254;
+    double bad_total = 0;
   };
 
   // The sums over the answers of a route, or of all routes: of all targets, and
   // of all targets but one.
   struct Evidence {
     double sum = 0;
-    std::map<TargetId, double> without;
+    std::map<TargetId, double> sums_without_target;
     size_t answers = 0;
   };
 
-  struct Route {
-    Stable stable;
+  struct RouteState {
+    StableHistory stable;
     Evidence evidence;
-    size_t candidate = 0;
-    size_t candidate_bad = 0;
+    size_t candidate_answers = 0;
+    size_t candidate_bad_answers = 0;
   };
 
-  void AddStable(Route& route, const AnswerSamples& answers, TimePoint now);
-  void AddCandidate(Route& route, const AnswerSamples& answers);
-  void CountCandidate(Route& route, const TargetId& target, bool is_bad);
-  static bool IsBad(const Stable& stable, uint8_t sample);
-  static void Fade(Stable& stable, double kept);
-  void FindSlow(Stable& stable) const;
-  double StableShare(const Stable& stable) const;
-  static void Move(Evidence& evidence, const TargetId& target, double by);
+  void AddStable(RouteState& route,
+                 const AnswerSamples& answers,
+                 TimePoint now);
+  void AddCandidate(RouteState& route, const AnswerSamples& answers);
+  void CountCandidateAnswer(RouteState& route,
+                            const TargetId& target,
+                            bool is_bad);
+  static bool IsBad(const StableHistory& stable, uint8_t sample);
+  static void Decay(StableHistory& stable, double factor);
+  void UpdateSlowThreshold(StableHistory& stable) const;
+  double StableBadShare(const StableHistory& stable) const;
+  static void AddEvidence(Evidence& evidence,
+                          const TargetId& target,
+                          double log_likelihood_ratio);
   // Without the target that speaks most against it, if there are others.
-  static double Against(const Evidence& evidence);
-  double Enough(const Evidence& evidence) const;
+  static double SumWithoutWorstTarget(const Evidence& evidence);
+  double EvidenceThreshold(const Evidence& evidence) const;
 
   VersionComparisonOptions options;
-  std::map<std::string, Route> routes;
-  Evidence all;
-  size_t candidate_count = 0;
-  size_t candidate_bad_count = 0;
+  std::map<std::string, RouteState> routes;
+  Evidence all_routes;
+  size_t candidate_total = 0;
+  size_t candidate_bad_total = 0;
   bool is_stable_frozen = false;
-  bool worse = false;
+  bool is_candidate_worse = false;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/rollout/version_comparison_test.cc
+++ b/knapweedroad/rollout/version_comparison_test.cc
@@ -14,85 +14,87 @@
 
 const TimePoint kStart{seconds(1000)};
 
-AnswerSamples Answer(const char* target,
-                     bool is_candidate,
-                     double ms,
-                     const char* route = "r") {
+AnswerSamples MakeAnswer(const char* target,
+                         bool is_candidate,
+                         double ms,
+                         const char* route = "r") {
   AnswerSamples answers{
       .target = TargetId(target), .route = route, .is_candidate = is_candidate};
   answers.samples += static_cast<char>(
       ms < 0 ? kFailedSample
-             : SampleOf(Duration(static_cast<int64_t>(ms * 1e6))));
+             : EncodeLatencySample(Duration(static_cast<int64_t>(ms * 1e6))));
   return answers;
 }
 
 // A stable version whose answers take about 10 ms.
-void Feed(VersionComparison& comparison, int answers) {
+void AddStableAnswers(VersionComparison& comparison, int answers) {
   for (int i = 0; i < answers; ++i) {
-    comparison.Add(Answer(i % 2 == 0 ? "old1" : "old2", false, 8 + i % 5),
+    comparison.Add(MakeAnswer(i % 2 == 0 ? "old1" : "old2", false, 8 + i % 5),
                    kStart);
   }
 }
 
 const char* const kTargets[] = {"new1", "new2", "new3"};
 
-Test(version_comparison, equal_versions_are_not_told_apart) {
+Test(version_comparison, equal_versions_are_not_reported_as_worse) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   for (int i = 0; i < 300; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, 8 + i % 7), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, 8 + i % 7), kStart);
   }
   cr_expect(!comparison.is_worse());
-  cr_expect(comparison.is_clear());
+  cr_expect(comparison.is_evidence_weak());
 }
 
-Test(version_comparison, a_version_that_fails_in_part_is_worse_within_30) {
+Test(version_comparison, a_partly_failing_version_is_worse_within_30_answers) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   int answers = 0;
   while (!comparison.is_worse() && answers < 100) {
     comparison.Add(
-        Answer(kTargets[answers % 3], true, answers % 5 < 2 ? -1 : 10), kStart);
+        MakeAnswer(kTargets[answers % 3], true, answers % 5 < 2 ? -1 : 10),
+        kStart);
     ++answers;
   }
   cr_expect(answers <= 30, "%d", answers);
 }
 
-Test(version_comparison, a_version_that_is_several_times_slower_is_worse) {
+Test(version_comparison, a_much_slower_version_is_worse) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   for (int i = 0; i < 20; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, 40), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, 40), kStart);
   }
   cr_expect(comparison.is_worse());
 }
 
 // Guards against judging by a mixture of routes: one whose answers take longer
 // makes the mixture's median, and a slow answer on the other looks usual.
-Test(version_comparison, each_route_is_compared_with_itself) {
+Test(version_comparison, routes_are_compared_separately) {
   VersionComparison comparison;
   for (int i = 0; i < 200; ++i) {
-    comparison.Add(Answer("old1", false, 40, "long"), kStart);
-    comparison.Add(Answer("old1", false, 4, "short"), kStart);
+    comparison.Add(MakeAnswer("old1", false, 40, "long"), kStart);
+    comparison.Add(MakeAnswer("old1", false, 4, "short"), kStart);
   }
   for (int i = 0; i < 20; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, 40, "long"), kStart);
-    comparison.Add(Answer(kTargets[i % 3], true, 16, "short"), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, 40, "long"), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, 16, "short"), kStart);
   }
   cr_expect(comparison.is_worse());
 }
 
 // Guards against many good answers of before that outweigh a late fault.
-Test(version_comparison, what_turns_bad_late_shows_as_fast) {
+Test(version_comparison, a_late_fault_is_detected_as_fast) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   for (int i = 0; i < 500; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, 10), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, 10), kStart);
   }
   int answers = 0;
   while (!comparison.is_worse() && answers < 100) {
     comparison.Add(
-        Answer(kTargets[answers % 3], true, answers % 5 < 2 ? -1 : 10), kStart);
+        MakeAnswer(kTargets[answers % 3], true, answers % 5 < 2 ? -1 : 10),
+        kStart);
     ++answers;
   }
   cr_expect(answers <= 30, "%d", answers);
@@ -100,38 +102,42 @@
 
 // Guards against a sound version that is rolled back since one of its targets
 // is ill by itself.
-Test(version_comparison, one_ill_target_does_not_condemn_its_version) {
+Test(version_comparison, one_faulty_target_does_not_make_its_version_worse) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   for (int i = 0; i < 60; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, i % 3 == 0 ? -1 : 10), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, i % 3 == 0 ? -1 : 10),
+                   kStart);
   }
   cr_expect(!comparison.is_worse());
 }
 
 // Guards against a version that is blamed for a trouble of all targets.
-Test(version_comparison, what_the_stable_version_does_as_well_is_no_fault) {
+Test(version_comparison, failures_shared_with_the_stable_version_are_ignored) {
   VersionComparison comparison;
   for (int i = 0; i < 200; ++i) {
-    comparison.Add(Answer("old1", false, i % 4 == 0 ? -1 : 10), kStart);
+    comparison.Add(MakeAnswer("old1", false, i % 4 == 0 ? -1 : 10), kStart);
   }
   for (int i = 0; i < 100; ++i) {
-    comparison.Add(Answer(kTargets[i % 3], true, i % 4 == 0 ? -1 : 10), kStart);
+    comparison.Add(MakeAnswer(kTargets[i % 3], true, i % 4 == 0 ? -1 : 10),
+                   kStart);
   }
   cr_expect(!comparison.is_worse());
 }
 
-Test(version_comparison, an_attempt_given_up_early_says_nothing) {
+Test(version_comparison, an_attempt_given_up_early_is_not_counted) {
   VersionComparison comparison;
-  Feed(comparison, 200);
+  AddStableAnswers(comparison, 200);
   AnswerSamples early{
       .target = TargetId("new1"), .route = "r", .is_candidate = true};
-  early.given_up.assign(50, static_cast<char>(SampleOf(milliseconds(12))));
+  early.given_up.assign(
+      50, static_cast<char>(EncodeLatencySample(milliseconds(12))));
   comparison.Add(early, kStart);
   cr_expect(comparison.candidate_answers() == 0);
-  early.given_up.assign(50, static_cast<char>(SampleOf(milliseconds(60))));
+  early.given_up.assign(
+      50, static_cast<char>(EncodeLatencySample(milliseconds(60))));
   comparison.Add(early, kStart);
-  cr_expect(comparison.candidate_bad() == 50);
+  cr_expect(comparison.candidate_bad_answers() == 50);
 }
 
 }  // namespace
