--- a/knapweedroad/rollout/answer_sampler.cc
+++ b/knapweedroad/rollout/answer_sampler.cc
@@ -36,7 +36,7 @@
                          previous->second.record.number == record.number;
     if (is_same) {
       rollout = std::move(previous->second);
-      // Another owner's directives don't hold any more.
+      // Directives of a previous owner are no longer valid.
       if (rollout.record.owner != record.owner) {
         rollout.directive = {};
         rollout.directive_expires_at = TimePoint();
--- a/knapweedroad/rollout/answer_sampler.h
+++ b/knapweedroad/rollout/answer_sampler.h
@@ -1,6 +1,6 @@
-// What an entry host sees of the services that have a running
-// roll-out, as it reports it to the owners of the roll-outs, and the directives
-// that they answer.
+// Records the outcomes of an entry host's attempts on services with a running
+// rollout, reports them to the owners of the rollouts, and applies the
+// directives that the owners reply with.
 //
 //   AnswerSampler sampler({.host = name, .epoch = epoch});
 //   sampler.SetRollouts(agreed_rollouts);
@@ -33,59 +33,72 @@
 
 namespace knapweedroad {
 
-// An attempt on a service, until it ends.
+// An attempt in flight on a service, returned by AnswerSampler::OnSent().
 struct SampledAttempt {
-  // Empty: the service has no running roll-out.
+  // Empty if the service has no running rollout.
   ServiceId service;
+  // RolloutRecord::number of the rollout.
   uint64_t rollout_number = 0;
   bool is_candidate = false;
 };
 
 struct AnswerSamplerOptions {
   HostId host;
-  // Of this process; differs with each start.
+  // Identifies this process. Has to differ from that of earlier processes.
   uint64_t epoch = 0;
 };
 
+// The rollouts of one entry host. Does no I/O: the caller sends the reports and
+// passes in the replies. Not thread-safe.
 class AnswerSampler {
  public:
   explicit AnswerSampler(AnswerSamplerOptions options);
 
-  // The agreed roll-outs; what is kept of others is dropped.
+  // Replaces the rollouts by those that the control hosts agreed on. Counts and
+  // outcomes of a rollout are kept while its number stays the same, and dropped
+  // otherwise. A directive is also dropped when the rollout gets another owner.
   void SetRollouts(std::span<const RolloutRecord> rollouts);
 
-  // Whether any roll-out runs.
+  // Returns whether any rollout is running.
   bool is_active() const { return !this->running_rollouts.empty(); }
-  // Whom reports go to.
+  // Returns the owners of running rollouts, to which reports are sent.
   std::set<HostId> Owners() const;
 
-  // Each attempt is OnSent() once, and ends with one of the others.
+  // Records that an attempt is sent to a target of `version`. The caller passes
+  // the returned value to exactly one of the four functions below when the
+  // attempt ends. They do nothing if the rollout has ended or was replaced.
   SampledAttempt OnSent(const ServiceId& service, const VersionId& version);
+  // Records an answer and its latency.
   void OnAnswered(const SampledAttempt& attempt,
                   const TargetId& target,
                   std::string_view route,
                   Duration latency);
+  // Records a failure.
   void OnFailed(const SampledAttempt& attempt,
                 const TargetId& target,
                 std::string_view route);
-  // Nobody waits for it any more.
+  // Records that the attempt was given up after waiting for `waited`.
   void OnGivenUp(const SampledAttempt& attempt,
                  const TargetId& target,
                  std::string_view route,
                  Duration waited);
-  // It ended in a way that tells nothing of the target.
+  // Records an end that says nothing about the target. No outcome is reported.
   void OnEnded(const SampledAttempt& attempt);
 
-  // What that owner is to hear; until it has answered, each report repeats the
-  // answers of the one before.
+  // Returns the next report to `owner`. Until OnReportReply() is called for the
+  // owner, each report repeats the outcomes of the previous one, and new
+  // outcomes are held back.
   RolloutReport MakeReport(const HostId& owner, TimePoint now);
-  // Its directives are valid from `sent_at` on, when the report was sent.
+  // Applies the reply of `owner` to a report that was sent at `sent_at`. The
+  // directives are valid from `sent_at` on. Directives of another owner or for
+  // another rollout of the service are ignored.
   void OnReportReply(const HostId& owner,
                      const RolloutReportReply& reply,
                      TimePoint sent_at);
 
-  // How the requests of each service with a roll-out, ended or not, are
-  // to be divided now.
+  // Returns the version split at `now` for each service that has a rollout,
+  // running or ended. A running rollout without a valid directive sends nothing
+  // to its candidate.
   std::unordered_map<ServiceId, VersionSplit> Splits(TimePoint now) const;
 
  private:
@@ -94,24 +107,28 @@
     uint64_t sent = 0;
     uint64_t sent_to_candidate = 0;
     uint32_t stable_in_flight = 0;
-    // By target and route.
+    // Outcomes that are not yet in a report, by target and route.
     std::map<std::pair<TargetId, std::string>, AnswerSamples> answers;
     RolloutDirective directive;
     TimePoint directive_expires_at;
   };
 
+  // The state of reporting to one owner.
   struct OwnerState {
     uint64_t sequence = 0;
     uint64_t answers_number = 0;
     bool has_replied = true;
-    // Reported, and repeated while it hasn't replied.
+    // The current batch of outcomes, repeated until the owner replies.
     std::unordered_map<ServiceId, std::vector<AnswerSamples>> answers;
   };
 
+  // Returns null if the attempt's rollout has ended or was replaced.
   RunningRollout* FindRunning(const SampledAttempt& attempt);
+  // Starts a new batch with all outcomes for this owner.
   void CollectAnswers(const HostId& owner_id, OwnerState& state);
-  // Of an earlier roll-out of the service.
+  // Removes the outcomes of an earlier rollout of the service from all batches.
   void DiscardAnswers(const ServiceId& service);
+  // Returns null if the attempt's rollout has ended or was replaced.
   AnswerSamples* FindOrAddSamples(const SampledAttempt& attempt,
                                   const TargetId& target,
                                   std::string_view route);
--- a/knapweedroad/rollout/answer_sampler_test.cc
+++ b/knapweedroad/rollout/answer_sampler_test.cc
@@ -44,8 +44,8 @@
   cr_expect(split.Allows(kStableVersion));
 }
 
-// Guards against a host that is cut off from the owner and goes on exposing
-// its callers to a version that has been found bad meanwhile.
+// Guards against a host that is cut off from the owner and keeps sending
+// requests to a candidate that has been found bad in the meantime.
 Test(answer_sampler, a_directive_expires) {
   AnswerSampler sampler = MakeSampler();
   sampler.MakeReport(kOwner, kStart);
@@ -98,8 +98,8 @@
             0);
 }
 
-// Guards against answers that are lost, or counted twice, with a report whose
-// reply doesn't come.
+// Guards against answers that are lost or counted twice when a report gets no
+// reply.
 Test(answer_sampler,
      unacknowledged_answers_are_repeated_under_the_same_number) {
   AnswerSampler sampler = MakeSampler();
@@ -120,8 +120,8 @@
   cr_expect(third.rollouts[0].answers[0].samples.size() == 1);
 }
 
-// Guards against a directive that is confirmed although it has expired, by a
-// host that has gone back to the stable version.
+// Guards against a host that confirms an expired directive although it has
+// returned to the stable version.
 Test(answer_sampler, an_expired_directive_is_not_confirmed) {
   AnswerSampler sampler = MakeSampler();
   sampler.MakeReport(kOwner, kStart);
--- a/knapweedroad/rollout/rollout_controller.cc
+++ b/knapweedroad/rollout/rollout_controller.cc
@@ -10,60 +10,73 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Kept of the exposure bound for what reports don't tell yet.
+// The fraction of the exposure bound that is planned with. The rest covers
+// attempts that haven't been reported yet.
 constexpr double kUsableExposureFraction = 0.92;
-// The most of it that is set aside for the time under full load; the canary
-// spends the rest.
+// The largest fraction of the exposure limit that is reserved for the full
+// phase. The canary phase uses the rest.
 constexpr double kMaxFullPhaseFraction = 0.75;
-// Requests that the canary is to have at the most: they tell enough, and the
-// time under full load is the longer for each one less.
+// The maximum number of attempts on the candidate in the canary phase. They
+// give enough evidence, and each attempt less lengthens the full phase.
 constexpr double kMaxCanaryAttempts = 50;
-// Share of the requests while their rate isn't known yet, and the most.
+// The canary share while the request rate isn't known, and its maximum.
 constexpr double kInitialCanaryShare = 0.03;
 constexpr double kMaxCanaryShare = 0.5;
-// A new share is told if it differs by more than this part.
+// A new canary share is sent if it differs from the current one by more than
+// this fraction.
 constexpr double kMinShareChange = 0.25;
-// What the canary is to spend is spread over this many seconds at the least.
+// The remaining canary attempts are spread over at least this time.
 constexpr double kMinCanarySpreadSeconds = 0.3;
-// Full load is to begin in time for its answers and, beside that, this long
-// before the deadline; and for a low rate this part of the duration at most.
+// The full phase starts this long before the deadline, plus the time that its
+// answers take at the expected rate. Both together are limited to this fraction
+// of the rollout's duration, which matters for low rates.
 constexpr Duration kFullPhaseLead = milliseconds(1600);
 constexpr double kMaxFullPhaseDurationFraction = 0.3;
-// Seconds of requests whose retries go to the candidate as well if it turns bad
-// at the very end: what it takes to notice, and the rest until the deadline.
+// Seconds of requests whose retries also go to the candidate if it starts
+// failing just before the deadline: the time to detect it, or what remains
+// until the deadline.
 constexpr double kRetryExposureSeconds = 0.2;
-// Entry hosts report more often from this long before that on.
+// Entry hosts report more often from this long before the full phase on.
 constexpr Duration kFrequentReportLead = milliseconds(600);
-// How far a count may exceed what is expected, in standard deviations.
+// Standard deviations by which a count may exceed its expected value.
 constexpr double kCountDeviations = 2;
-// Answers that the canary needs, unless so much of the duration is over.
+// The candidate answers needed to leave the canary phase, unless this fraction
+// of the rollout's duration has passed.
 constexpr size_t kMinCanaryAnswers = 10;
 constexpr double kLateCanaryFraction = 0.8;
-// Under full load: answers and time that show how the candidate does.
+// The candidate answers and the time needed to evaluate the full phase.
 constexpr size_t kMinFullPhaseAnswers = 20;
 constexpr Duration kMinFullPhaseDuration = milliseconds(300);
-// From the end of that until the deadline: confirmations and an agreement.
+// The full phase ends this long before the deadline, to leave time for the
+// confirmations of the entry hosts and the agreement of the control hosts.
 constexpr Duration kDrainLead = milliseconds(450);
-// With fewer answers in this time it goes on without them.
+// After this time the full phase may end with fewer answers.
 constexpr Duration kMaxFullPhaseWait = milliseconds(1000);
-// Slots that a candidate needs, of those of the stable version.
+// The candidate's slots needed, relative to those of the stable version.
 constexpr double kMinCandidateSlotRatio = 0.6;
-// Bad answers after which doubt is enough.
+// The bad answers from which on any evidence that isn't weak leads to a
+// rollback.
 constexpr size_t kDecisiveBadAnswers = 40;
-// A host that hasn't reported for this long isn't waited for.
+// A host that hasn't reported for this long need not confirm.
 constexpr Duration kReporterTimeout = milliseconds(1200);
-// What still runs at the stable version is waited for at most this long.
+// The longest time to wait for attempts in flight on the stable version.
 constexpr Duration kDrainTimeout = milliseconds(1500);
-// After the deadline: without targets, or in doubt, it is rolled back.
+// A rollout still in the canary phase, for lack of targets or of clear
+// evidence, is rolled back this long after the deadline, or after its duration
+// if longer.
 constexpr Duration kMinOvertime = seconds(10);
+// The interval between updates of the request rate, and the weight of the
+// newest interval in it.
 constexpr Duration kRateWindow = milliseconds(300);
 constexpr double kRateWeight = 0.3;
 constexpr Duration kReportInterval = milliseconds(250);
 constexpr Duration kFrequentReportInterval = milliseconds(50);
+// The validity of a directive in the canary phase and in the full phase.
 constexpr int64_t kDirectiveValidMs = 1500;
 constexpr int64_t kFullDirectiveValidMs = 800;
-// Longer than a host is waited for and the news of the end takes: a host that
-// has confirmed doesn't go back to the stable version meanwhile.
+// The validity of a directive in the draining phase. It is longer than the wait
+// for a silent host plus the distribution of the decision, so that a host that
+// has confirmed doesn't return to the stable version in between.
 constexpr int64_t kDrainDirectiveValidMs = 3000;
 constexpr uint32_t kAllPermille = 1000;
 
@@ -71,7 +84,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// A count that is hardly ever exceeded, of its expected value.
+// Returns a count that is rarely exceeded, given its expected value.
 double UpperCountBound(double expected) {
   return expected + kCountDeviations * std::sqrt(expected);
 }
@@ -101,7 +114,9 @@
       phase_entered_at(now) {
   this->current_directive.service = this->options.record.service;
   this->current_directive.rollout_number = this->options.record.number;
-  // A later owner's directives are newer than those of the one before.
+  // Starts the sequence at the age of the rollout in milliseconds, so that the
+  // directives of a later owner get higher numbers than those of the previous
+  // one.
   this->current_directive.sequence = static_cast<uint64_t>(
       std::max<int64_t>(0, (now - this->options.ordered_at) / milliseconds(1)));
   this->SetDirective(0, /*allows_stable=*/true);
@@ -152,7 +167,7 @@
     return;
   }
   Reporter& reporter = this->reporters[host];
-  // A host that has started anew counts from zero.
+  // A restarted host counts from zero.
   const AttemptCounts before =
       reporter.epoch == epoch ? reporter.counts : AttemptCounts();
   this->totals.sent += progress.sent - std::min(progress.sent, before.sent);
@@ -185,8 +200,8 @@
       this->recent_rate <= 0
           ? measured_rate
           : this->recent_rate * (1 - kRateWeight) + measured_rate * kRateWeight;
-  // Recent counts of few requests say little, and a rising rate more than the
-  // mean.
+  // The mean is the better estimate when recent counts are low, and the recent
+  // rate when the rate is rising. Assumes the higher one.
   const double mean_rate = static_cast<double>(this->totals.sent) /
                            std::max(1e-3, Seconds(now - this->started_at));
   this->expected_rate = std::max(mean_rate, this->recent_rate);
@@ -216,8 +231,8 @@
              kMinCandidateSlotRatio * static_cast<double>(fleet.stable_slots);
 }
 
-// Not before its answers and the confirmations that follow need it: what turns
-// bad late is found, and little is exposed to it, in the canary.
+// Starts no earlier than the answers and the confirmations require. The canary
+// phase detects a candidate that starts failing late at less exposure.
 TimePoint RolloutController::FullPhaseStart() const {
   const Duration answer_time =
       this->expected_rate <= 0
@@ -255,7 +270,8 @@
 void RolloutController::UpdateCanaryShare(TimePoint now) {
   const double exposed = static_cast<double>(this->totals.to_candidate);
   const double remaining_s = Seconds(this->options.deadline - now);
-  // As if no further request came: the bound holds at every moment.
+  // The limit if no further request arrived, so that the bound holds at any
+  // time.
   const double exposure_limit_now =
       kUsableExposureFraction *
       (this->options.exposure.share * static_cast<double>(this->totals.sent) +
@@ -276,7 +292,8 @@
   }
   share = std::min(share, kMaxCanaryShare);
   if (remaining_s <= 0) {
-    // What kept it from its end is still to be found out.
+    // Past the deadline the candidate still needs requests, to resolve what has
+    // delayed the decision.
     share = this->options.exposure.share;
   } else if (exposed >= exposure_limit_now) {
     share = 0;
@@ -372,7 +389,7 @@
     const TimePoint last_report_at = found == this->reporters.end()
                                          ? TimePoint()
                                          : found->second.last_report_at;
-    // It is down or cut off.
+    // The host is down or unreachable.
     if (now - std::max(last_report_at, this->phase_entered_at) >
         kReporterTimeout) {
       return true;
--- a/knapweedroad/rollout/rollout_controller.h
+++ b/knapweedroad/rollout/rollout_controller.h
@@ -1,17 +1,27 @@
-// Carries one running roll-out from its order to its end: how many requests the
-// candidate gets, and what its answers mean.
+// Controls one running rollout on the control host that owns it: decides how
+// many requests the candidate gets, and whether the rollout is completed or
+// rolled back.
 //
 //   RolloutController controller({.record = record, .deadline = at, ...}, now);
-//   controller.OnReport(host, epoch, progress, repeated, now);
-//   controller.Tick(view, now);
-//   RolloutDirective told = controller.directive();
-//   if (controller.end()) Agree(*controller.end());
+//   controller.OnReport(host, epoch, progress, is_repeated, now);
+//   controller.Tick(fleet, now);
+//   RolloutDirective directive = controller.directive();
+//   if (controller.decision()) Agree(*controller.decision());
 //
-// First a small share of the requests goes to the candidate (canary). Late, all
-// of them do, since some faults show only under load, and so late that what the
-// candidate gets until the deadline stays within its exposure bound even if it
-// turns bad then. Last, once all entry hosts have confirmed that nothing goes
-// to the stable version any more, the roll-out is complete.
+// The phases of a rollout:
+// - Canary: a small share of the requests goes to the candidate.
+// - Full: all first attempts go to the candidate, because some faults show only
+//   under load. The phase starts so late that the attempts on the candidate
+//   stay within the exposure bound until the deadline even if it starts failing
+//   then. The rollout returns to the canary phase if the exposure limit is
+//   exceeded or the candidate has too few targets.
+// - Draining: nothing is sent to the stable version. The rollout is completed
+//   once the entry hosts have confirmed this and no attempt on the stable
+//   version is in flight, or the wait for those attempts has timed out.
+//
+// The rollout is rolled back from any phase if the candidate's answers become
+// worse than those of the stable version, and from the canary phase if it has
+// lasted too long past the deadline.
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ROLLOUT_CONTROLLER_H_
 #define KNAPWEEDROAD_ROLLOUT_ROLLOUT_CONTROLLER_H_
@@ -32,71 +42,83 @@
 
 namespace knapweedroad {
 
+// The phase of a rollout, see above.
 enum class RolloutPhase : uint8_t {
   kCanary,
   kFull,      // all first attempts go to the candidate
-  kDraining,  // nothing goes to the stable version any more
-  kEnded,
+  kDraining,  // nothing is sent to the stable version
+  kEnded,     // there is a decision
 };
 
+// Returns the phase's name in logs. kDraining is logged as "sealing".
 std::string_view ToString(RolloutPhase phase);
 
-// Bounds on what a candidate gets between the order and the deadline.
+// The bound on the attempts that are sent to a candidate between the order and
+// the deadline: `share` of all attempts on the service, plus `slack` attempts.
 struct ExposureBound {
-  // Of the attempts on the service, and beside that.
   double share = 0.1;
   double slack = 50;
 };
 
 struct RolloutControllerOptions {
   RolloutRecord record;
-  // By this host's clock.
+  // Times of the order and of the deadline by the clock of this host.
   TimePoint ordered_at;
   TimePoint deadline;
   ExposureBound exposure;
   VersionComparisonOptions comparison;
 };
 
-// What the owner knows besides reports.
+// The entry hosts, and the capacity of the service's targets.
 struct FleetState {
+  // The hosts that have to confirm that they send nothing to the stable
+  // version.
   std::span<const HostId> entry_hosts;
-  // Slots of targets that serve and are warm.
+  // The number of requests that the serving, warmed-up targets of each version
+  // run concurrently.
   size_t candidate_slots = 0;
   size_t stable_slots = 0;
 };
 
+// The end of a rollout, for the control hosts to agree on.
 struct RolloutDecision {
   RolloutState state = RolloutState::kRunning;
-  // A plain word, for the log.
+  // One of "as_good", "worse", "in_doubt" and "too_few_targets", for the log.
   std::string_view cause;
 };
 
+// Does no I/O and reads no clock. Not thread-safe.
 class RolloutController {
  public:
   RolloutController(RolloutControllerOptions options, TimePoint now);
 
-  // One entry host's report; of an earlier order it changes nothing. Answers
-  // that are `repeated` have been taken before.
+  // Records the progress that an entry host reported. Progress of another
+  // rollout of the service is ignored. `epoch` identifies the host's process,
+  // whose counts start at zero. With `is_repeated` the answers have been
+  // recorded from an earlier report, and only the rest is used.
   void OnReport(const HostId& host,
                 uint64_t epoch,
                 const RolloutProgress& progress,
                 bool is_repeated,
                 TimePoint now);
 
-  // Called every 100 ms or so.
+  // Updates the phase, the directive and the decision. To be called about every
+  // 100 ms.
   void Tick(const FleetState& fleet, TimePoint now);
 
   const RolloutRecord& record() const { return this->options.record; }
   RolloutPhase phase() const { return this->current_phase; }
+  // Returns the directive to reply to entry hosts with.
   const RolloutDirective& directive() const { return this->current_directive; }
-  // When entry hosts are to report next.
+  // Returns the time after which entry hosts are to report again.
   Duration ReportInterval(TimePoint now) const;
-  // Nothing while it runs.
+  // Returns nothing while the rollout is running. A decision doesn't change.
   const std::optional<RolloutDecision>& decision() const {
     return this->final_decision;
   }
 
-  // Attempts on the service, and those of them on the candidate, as reported.
+  // Returns the reported number of attempts on the service, and of those on the
+  // candidate.
   uint64_t sent() const { return this->totals.sent; }
   uint64_t sent_to_candidate() const { return this->totals.to_candidate; }
   const VersionComparison& comparison() const {
@@ -117,21 +139,26 @@
     TimePoint last_report_at;
   };
 
+  // Changes the directive. The entry hosts have to confirm the new one.
   void SetDirective(uint32_t candidate_permille, bool allows_stable);
   void EnterPhase(RolloutPhase phase, TimePoint now);
   void Decide(RolloutState state, std::string_view cause);
   void UpdateRate(TimePoint now);
-  // The most that the candidate may get until the deadline.
+  // Returns the number of attempts that the candidate may get until the
+  // deadline, from the attempts so far and the expected rate.
   double ExposureLimit(TimePoint now) const;
   bool IsCandidateWorse() const;
+  // Returns whether the candidate's targets can take the service's traffic.
   bool HasCandidateCapacity(const FleetState& fleet) const;
+  // Returns the earliest start of the full phase.
   TimePoint FullPhaseStart() const;
   bool CanEnterFullPhase(const FleetState& fleet, TimePoint now) const;
   void UpdateCanaryShare(TimePoint now);
   void TickCanary(const FleetState& fleet, TimePoint now);
   void TickFull(const FleetState& fleet, TimePoint now);
   void TickDraining(const FleetState& fleet, TimePoint now);
-  // Whether all entry hosts that can be heard follow the directive in force.
+  // Returns whether all entry hosts apply the current directive. Hosts that
+  // have stopped reporting are left out.
   bool IsDirectiveConfirmed(const FleetState& fleet, TimePoint now) const;
   bool IsStableIdle() const;
   Duration duration() const {
@@ -143,14 +170,15 @@
   std::map<HostId, Reporter> reporters;
   AttemptCounts totals;
   TimePoint started_at;
-  // Attempts a second: lately, and as reckoned with.
+  // Attempts per second: the smoothed recent rate, and the rate assumed until
+  // the deadline.
   double recent_rate = 0;
   double expected_rate = 0;
   uint64_t sent_at_measurement = 0;
   TimePoint rate_measured_at;
   RolloutPhase current_phase = RolloutPhase::kCanary;
   TimePoint phase_entered_at;
-  // Since when all hosts have followed the directive of the phase.
+  // When all hosts had confirmed the current directive.
   std::optional<TimePoint> confirmed_at;
   size_t answers_before_full = 0;
   RolloutDirective current_directive;
--- a/knapweedroad/rollout/rollout_controller_test.cc
+++ b/knapweedroad/rollout/rollout_controller_test.cc
@@ -28,7 +28,7 @@
             rate, seed, result.stable_attempts_after_end);
 }
 
-// In doubt a good version may take a little longer than its deadline.
+// With unclear evidence a good version may complete shortly after the deadline.
 Test(rollout_controller, a_good_version_completes_by_its_deadline) {
   constexpr int kMaxLate = 2;
   int late = 0;
@@ -55,8 +55,8 @@
   }
 }
 
-// Guards against the exposure of callers to a version that fails from the
-// start, in part or on one route only.
+// Guards against requests that keep going to a version that fails a share of
+// them from the start, on all routes or on one.
 Test(rollout_controller, a_failing_version_is_rolled_back) {
   for (const double rate : {20.0, 100.0, 400.0}) {
     ExpectRolledBack({.share = 0.4}, rate);
@@ -72,7 +72,7 @@
   }
 }
 
-// Guards against a fault that begins after the canary has looked well.
+// Guards against a fault that starts after good answers in the canary phase.
 Test(rollout_controller,
      a_version_that_fails_late_is_rolled_back_within_the_bound) {
   for (const Duration starts_after : {seconds(5), seconds(8), seconds(10)}) {
@@ -82,16 +82,16 @@
   }
 }
 
-// Guards against a fault that shows only while a target has its full share of
-// the requests, which a canary doesn't give it.
+// Guards against a fault that occurs only under full load, which the canary
+// phase doesn't generate.
 Test(rollout_controller, a_version_that_fails_under_load_is_rolled_back) {
   for (const double rate : {100.0, 400.0}) {
     ExpectRolledBack({.share = 0.6, .min_target_rate = rate / 3 * 0.6}, rate);
   }
 }
 
-// Guards against more exposure than the bound allows by a version that turns
-// bad when it is too late to find out.
+// Guards against exceeding the exposure bound when the candidate starts failing
+// too late for a rollback.
 Test(rollout_controller,
      a_fault_just_before_the_deadline_stays_within_the_bound) {
   for (const double rate : kRates) {
@@ -107,9 +107,9 @@
   }
 }
 
-// Guards against hosts that go on sending to the old version after it has been
-// stopped: those that are cut off must not hold up the others for ever, and
-// the others must have confirmed.
+// Guards against requests to the stable version after completion, and against a
+// rollout that waits for unreachable hosts: these must not delay it, but all
+// other hosts must have confirmed.
 Test(rollout_controller, unreachable_hosts_do_not_block_completion) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const RolloutSimulationResult result = RunRolloutSimulation(
@@ -133,7 +133,8 @@
   cr_expect(completed >= 10, "%zu", completed);
 }
 
-// Guards against a service without any target: the candidate's never came.
+// Guards against a service without targets: the candidate's targets never
+// become available.
 Test(rollout_controller, a_version_without_targets_is_rolled_back) {
   const RolloutSimulationResult result =
       RunRolloutSimulation({.candidate_warm_after = seconds(3600)});
@@ -155,7 +156,8 @@
   cr_expect(controller.sent() == 0);
 }
 
-// Guards against counts that go wrong when an entry host starts anew.
+// Guards against wrong totals when the counts of a restarted entry host begin
+// at zero.
 Test(rollout_controller, counts_continue_after_an_entry_host_restarts) {
   RolloutController controller(
       {.record = {.service = ServiceId("s"), .number = 1},
--- a/knapweedroad/rollout/rollout_messages.h
+++ b/knapweedroad/rollout/rollout_messages.h
@@ -1,5 +1,5 @@
-// What entry hosts tell the owner of running roll-outs, and what it tells them
-// to do.
+// Messages between entry hosts and the control hosts that own running rollouts:
+// reports on attempts from entry hosts, and directives in reply.
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ROLLOUT_MESSAGES_H_
 #define KNAPWEEDROAD_ROLLOUT_ROLLOUT_MESSAGES_H_
@@ -12,19 +12,21 @@
 
 namespace knapweedroad {
 
-// How the attempts on one target ended, on one route.
+// The outcomes of attempts on one target for one route.
 struct AnswerSamples {
   TargetId target;
   std::string route;
+  // Whether the target runs the candidate version.
   bool is_candidate = false;
-  // A byte an attempt, see answer_sample.h.
+  // One byte for each answered or failed attempt, see answer_sample.h.
   std::string samples;
-  // Of attempts that were given up: for how long they had waited.
+  // One byte for each attempt that was given up without an answer: the latency
+  // sample of the time waited.
   std::string given_up;
 
   friend bool operator==(const AnswerSamples&, const AnswerSamples&) = default;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->route, this->is_candidate, this->samples,
@@ -32,26 +34,27 @@
   }
 };
 
-// One roll-out at one entry host.
+// The progress of one rollout at one entry host.
 struct RolloutProgress {
   ServiceId service;
-  // RolloutRecord::number.
+  // RolloutRecord::number of the rollout.
   uint64_t rollout_number = 0;
-  // The directive that the host follows; zero: none, its last one has expired.
+  // RolloutDirective::sequence of the directive that the host applies. Zero
+  // means none: it has not received one, or the last one has expired.
   uint64_t directive_sequence = 0;
-  // Attempts sent since the host has heard of the order, and those of them
-  // that went to the candidate.
+  // The number of attempts sent since the host learned of the rollout, and of
+  // those sent to the candidate.
   uint64_t sent = 0;
   uint64_t sent_to_candidate = 0;
-  // Attempts on other versions that haven't ended.
+  // The number of attempts in flight on versions other than the candidate.
   uint32_t stable_in_flight = 0;
-  // Since the last report that had a reply.
+  // Outcomes recorded since the last batch that was acknowledged by a reply.
   std::vector<AnswerSamples> answers;
 
   friend bool operator==(const RolloutProgress&,
                          const RolloutProgress&) = default;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->service, this->rollout_number, this->directive_sequence,
@@ -60,18 +63,22 @@
   }
 };
 
+// A report of an entry host to one owner, on all running rollouts of that
+// owner.
 struct RolloutReport {
   HostId host;
-  // Of the host's process: its counts begin anew with it.
+  // Identifies the process of the host. Its counts restart at zero when the
+  // epoch changes.
   uint64_t epoch = 0;
-  // Rises with each report.
+  // Increases with each report.
   uint64_t sequence = 0;
-  // Numbers the answers in it: while a report has no reply, the next one
-  // repeats its answers under the same number.
+  // The number of the batch of answers in the report. Until a report is replied
+  // to, the following ones repeat its batch under the same number, so that the
+  // owner can skip a batch that it has counted.
   uint64_t answers_number = 0;
   std::vector<RolloutProgress> rollouts;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->host, this->epoch, this->sequence, this->answers_number,
@@ -79,24 +86,26 @@
   }
 };
 
-// How entry hosts divide a service's requests. Valid for a while from the
-// report that it answers; without one nothing goes to the candidate.
+// The division of a service's requests that an entry host is to apply. It is
+// valid for `valid_ms` from the time at which the host sent the report that it
+// replies to. A host without a valid directive sends nothing to the candidate.
 struct RolloutDirective {
   ServiceId service;
-  // RolloutRecord::number.
+  // RolloutRecord::number of the rollout.
   uint64_t rollout_number = 0;
-  // Rises with each change.
+  // Increases with each change of the directive. Zero means that the owner has
+  // withheld its directive: nothing goes to the candidate.
   uint64_t sequence = 0;
-  // Share of first attempts that the candidate gets, in thousandths.
+  // The share of first attempts that go to the candidate, in thousandths.
   uint32_t candidate_permille = 0;
-  // Whether anything may still go to the stable version.
+  // Whether requests may be sent to the stable version.
   bool allows_stable = true;
   int64_t valid_ms = 0;
 
   friend bool operator==(const RolloutDirective&,
                          const RolloutDirective&) = default;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->service, this->rollout_number, this->sequence,
@@ -104,12 +113,13 @@
   }
 };
 
+// An owner's reply to a report.
 struct RolloutReportReply {
   std::vector<RolloutDirective> directives;
-  // When the next report is wanted.
+  // The time until the next report, in milliseconds.
   int64_t next_ms = 0;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->directives, this->next_ms);
--- a/knapweedroad/rollout/rollout_orders.cc
+++ b/knapweedroad/rollout/rollout_orders.cc
@@ -5,6 +5,7 @@
 namespace knapweedroad {
 namespace {
 
+// The number of replaced orders kept for each service to recognize resends.
 constexpr size_t kMaxReplacedOrders = 8;
 
 bool IsWithinResendWindow(int64_t ordered_ms, const RolloutRequest& request) {
@@ -26,8 +27,8 @@
       });
 }
 
-// The version to go back to: after a completed roll-out its candidate, else
-// what was in force before.
+// Returns the stable version of the next rollout, which a rollback returns to:
+// the candidate of a completed rollout, and the stable version of any other.
 VersionId VersionInUse(const RolloutRecord& record) {
   return record.state == RolloutState::kCompleted ? record.candidate
                                                   : record.stable;
--- a/knapweedroad/rollout/rollout_orders.h
+++ b/knapweedroad/rollout/rollout_orders.h
@@ -1,6 +1,6 @@
-// What orders and verdicts make of the agreed roll-outs. Control hosts apply
-// these to the agreed value, so each has to give the same result wherever and
-// however often it is applied.
+// Operations on the rollouts in the agreed state: accepting an order, ending a
+// rollout, changing its owner. Control hosts apply them to the agreed value, so
+// each has to be deterministic, and applying one again has to change nothing.
 //
 //   ApplyOrder(state.rollouts, {.service = service, .candidate = v2, ...});
 //   FinishRollout(state.rollouts, service, number, RolloutState::kCompleted);
@@ -19,41 +19,51 @@
 
 namespace knapweedroad {
 
-// Ended roll-outs that are kept; beyond that the oldest are forgotten.
+// The number of ended rollouts above which accepting the first order for a
+// service removes the oldest ended rollout.
 inline constexpr size_t kMaxEndedRollouts = 2000;
 
+// An order to roll out a version, as the control host that received it submits
+// it.
 struct RolloutRequest {
   ServiceId service;
   VersionId candidate;
-  // The version that serves now, as the control host knows it; empty: unknown.
+  // The version in use according to the control host. Empty if unknown.
   VersionId serving_version;
+  // The time from the order to its deadline.
   Duration duration{};
-  // The control host that takes the order.
+  // The control host that received the order. It becomes the rollout's owner.
   HostId owner;
-  // Unix milliseconds.
+  // When the order was received, in Unix milliseconds.
   int64_t now_ms = 0;
-  // An equal order within this time is the same one sent again.
+  // An order for a version that was rolled back or replaced is treated as a
+  // resend of the earlier order if it comes within this time after it.
   Duration resend_window{};
 };
 
-// Takes an order. The newest order for a service replaces a running one. An
-// order for the version in force is complete at once.
+// Applies an order. The newest order for a service replaces a running rollout.
+// A resend of an earlier order changes nothing; an order for the candidate of a
+// running or completed rollout always counts as a resend. An order for the
+// version in use is completed at once. `rollouts` are sorted by service.
 void ApplyOrder(std::vector<RolloutRecord>& rollouts,
                 const RolloutRequest& request);
 
-// Ends the roll-out of that number if it runs; else nothing changes.
+// Sets the state of the service's rollout to `state` if it has this number and
+// is running. Changes nothing otherwise.
 void FinishRollout(std::vector<RolloutRecord>& rollouts,
                    const ServiceId& service,
                    uint64_t number,
                    RolloutState state);
 
-// Gives a running roll-out whose owner is still `from` to another host.
+// Changes the owner of the service's rollout to `to` if the rollout is running
+// and its owner is `from`. Changes nothing otherwise.
 void TakeOverRollout(std::vector<RolloutRecord>& rollouts,
                      const ServiceId& service,
                      const HostId& from,
                      const HostId& to);
 
-// Null: none was ordered. `rollouts` in order of their services.
+// Returns the rollout of the service, or null if none was ordered. `rollouts`
+// are sorted by service.
 const RolloutRecord* FindRollout(std::span<const RolloutRecord> rollouts,
                                  const ServiceId& service);
 
--- a/knapweedroad/rollout/rollout_orders_test.cc
+++ b/knapweedroad/rollout/rollout_orders_test.cc
@@ -32,8 +32,8 @@
   cr_expect(rollouts[0].state == RolloutState::kRolledBack);
 }
 
-// Guards against a roll-out that starts again because its acknowledgement was
-// lost and the order came once more after the end.
+// Guards against a rollout that starts again because the acknowledgement of its
+// order was lost and the order was resent after the rollout ended.
 Test(rollout_orders, a_resent_order_changes_nothing) {
   std::vector<RolloutRecord> rollouts;
   ApplyOrder(rollouts, MakeRequest("v2", 100));
@@ -64,8 +64,8 @@
   cr_expect(rollouts[0].state == RolloutState::kCompleted);
 }
 
-// Guards against going back to a version that an operator has replaced: a late
-// copy of its order arrives after the newer one.
+// Guards against returning to a replaced version because a late copy of its
+// order arrives after the newer order.
 Test(rollout_orders, a_late_copy_of_an_older_order_is_ignored) {
   std::vector<RolloutRecord> rollouts;
   ApplyOrder(rollouts, MakeRequest("v2", 100));
@@ -85,7 +85,7 @@
   cr_expect(rollouts[0].stable == VersionId("v2"));
 }
 
-// Guards against a verdict on an order that a newer one has replaced.
+// Guards against applying the decision on a replaced rollout to the newer one.
 Test(rollout_orders, finishing_a_replaced_rollout_changes_nothing) {
   std::vector<RolloutRecord> rollouts;
   ApplyOrder(rollouts, MakeRequest("v2", 100));
--- a/knapweedroad/rollout/rollout_record.h
+++ b/knapweedroad/rollout/rollout_record.h
@@ -1,4 +1,5 @@
-// A roll-out of a new version of a service, as control hosts agree on it.
+// The state of the rollout of a new version of a service. It is part of the
+// state that the control hosts replicate by agreement.
 
 #ifndef KNAPWEEDROAD_ROLLOUT_ROLLOUT_RECORD_H_
 #define KNAPWEEDROAD_ROLLOUT_ROLLOUT_RECORD_H_
@@ -10,48 +11,55 @@
 
 namespace knapweedroad {
 
-// Changes once, from kRunning to one of the others.
+// The state of a rollout. It changes once, from kRunning to one of the others.
 enum class RolloutState : uint8_t {
   kRunning = 1,
-  kCompleted = 2,   // the candidate gets all requests, the stable version none
-  kRolledBack = 3,  // the candidate gets none
+  kCompleted = 2,   // all requests go to the candidate
+  kRolledBack = 3,  // no request goes to the candidate
 };
 
-// An order that was accepted.
+// An accepted order that a later order for the same service replaced.
 struct ReplacedOrder {
   VersionId candidate;
-  // Unix milliseconds, of the control host that accepted it.
+  // When the order was accepted, in Unix milliseconds by the clock of the
+  // control host that accepted it.
   int64_t ordered_ms = 0;
 
   friend bool operator==(const ReplacedOrder&, const ReplacedOrder&) = default;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->candidate, this->ordered_ms);
   }
 };
 
+// The newest order for a service and its state.
 struct RolloutRecord {
   ServiceId service;
-  // Counts the orders for the service; tells messages of an earlier one.
+  // The number of orders accepted for the service, this one included. Messages
+  // with another number belong to another rollout and are ignored.
   uint64_t number = 0;
-  // The version in force before. Empty: any but the candidate.
+  // The version in use before the rollout. Empty means any version other than
+  // the candidate.
   VersionId stable;
   VersionId candidate;
   RolloutState state = RolloutState::kRunning;
-  // Unix milliseconds, of the control host that accepted the order.
+  // When the order was accepted, in Unix milliseconds by the clock of the
+  // control host that accepted it.
   int64_t ordered_ms = 0;
-  // When the candidate is to have all requests, from the order on.
+  // The time from the order to the deadline, by which all requests are to go to
+  // the candidate.
   int64_t duration_ms = 0;
-  // The control host that watches the candidate and decides.
+  // The control host that evaluates the candidate and completes the rollout or
+  // rolls it back.
   HostId owner;
-  // Orders that a later one replaced, oldest first.
+  // Replaced orders of the service, oldest first. Only the newest are kept.
   std::vector<ReplacedOrder> replaced;
 
   friend bool operator==(const RolloutRecord&, const RolloutRecord&) = default;
 
-  // For cereal.
+  // Serializes the fields in wire order for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->service, this->number, this->stable, this->candidate,
--- a/knapweedroad/rollout/rollout_simulation.cc
+++ b/knapweedroad/rollout/rollout_simulation.cc
@@ -27,19 +27,24 @@
 
 constexpr ExposureBound kExposureBound{.share = 0.1, .slack = 50};
 constexpr Duration kTickInterval = milliseconds(50);
-// Requests go on for this long after the deadline.
+// The simulation continues for this long after the deadline.
 constexpr Duration kTimeAfterDeadline = seconds(16);
-// From a decision to its news at every entry host: agreement and a pull.
+// The time from a decision until all entry hosts apply it: the agreement of the
+// control hosts and the next update of the entry hosts.
 constexpr Duration kPropagationDelay = milliseconds(120);
+// Latencies are log-normal, with a tail of slower answers.
 constexpr double kLongRouteMedianMs = 11;
 constexpr double kShortRouteMedianMs = 3.8;
 constexpr double kLatencySigma = 0.35;
 constexpr double kTailShare = 0.01;
 constexpr double kTailFactor = 5;
-// A target pauses for a tenth of a second every three seconds.
+// Pauses of a target of about a tenth of a second every three seconds: the
+// share of requests that meet one, and the longest delay.
 constexpr double kPauseShare = 0.04;
 constexpr double kPauseMs = 120;
+// The bad answers from which on the time to the rollback is measured.
 constexpr size_t kRollbackBadAnswers = 50;
+// The window for the request rate of a target.
 constexpr double kRateWindowSeconds = 0.25;
 constexpr double kRetryDelayMs = 5;
 
@@ -72,6 +77,7 @@
   RolloutSimulationResult Run();
 
  private:
+  // Ordered so that the earliest event is at the top of a priority queue.
   struct Event {
     TimePoint at;
     uint64_t sequence = 0;
@@ -88,7 +94,7 @@
     bool is_isolated = false;
   };
 
-  // One attempt, as its target will answer it.
+  // An attempt with its outcome, which is drawn when it is sent.
   struct Attempt {
     bool is_candidate = false;
     size_t target = 0;
@@ -131,7 +137,7 @@
   std::priority_queue<Event> events;
   uint64_t sequence = 0;
   TimePoint now = kOrderedAt;
-  // Arrivals at each candidate target, lately.
+  // Arrival times within the rate window, by target of the candidate.
   std::vector<std::deque<TimePoint>> candidate_arrivals;
   bool is_agreed = false;
   bool is_agreeing = false;
--- a/knapweedroad/rollout/rollout_simulation.h
+++ b/knapweedroad/rollout/rollout_simulation.h
@@ -1,5 +1,6 @@
-// A roll-out in virtual time: entry hosts that send requests and report, the
-// controller, and targets of two versions, seeded.
+// A simulation of a rollout in virtual time, for tests and experiments. Runs
+// the real controller and samplers with simulated entry hosts and targets of
+// two versions. Equal options give an equal result.
 //
 //   RolloutSimulationResult result =
 //       RunRolloutSimulation({.fault = {.share = 0.4}, .seed = 7});
@@ -18,42 +19,52 @@
 
 namespace knapweedroad {
 
-// What is wrong with the candidate.
+// A fault of the candidate version.
 struct CandidateFault {
-  // Of its answers; zero: it is as good as the stable version.
+  // The share of its answers that are bad. Zero means no fault.
   double share = 0;
-  // Times as slow; zero: they are failures.
+  // The factor on the latency of bad answers. Zero means that they are
+  // failures.
   double slow_factor = 0;
-  // Since the order.
+  // The time from the order to the start of the fault.
   Duration starts_after{};
-  // Only above this many requests a second at one of its targets.
+  // The fault occurs only on targets that get at least this many requests per
+  // second.
   double min_target_rate = 0;
   bool only_short_route = false;
 };
 
-// Trouble that has nothing to do with the versions: one target of a version
-// fails a share of its requests, or is slow, in the middle of the roll-out.
+// A fault that is independent of the version: in the middle of the rollout one
+// target of a version fails a share of its requests or is slow.
 struct TargetFault {
   bool affects_candidate = false;
   bool affects_stable = false;
+  // The share of requests that fail if the target isn't slow.
   double share = 0.45;
+  // The factor on the latency of all its answers. Zero means that it fails
+  // requests instead.
   double slow_factor = 0;
 };
 
 struct RolloutSimulationOptions {
+  // The number of entry hosts.
   size_t hosts = 66;
-  // Requests a second to the service, and the part that is of the short route.
+  // Requests per second to the service, and the share of them for the route
+  // with short latencies.
   double rate = 100;
   double short_route_share = 0.37;
+  // The number of targets of each version.
   size_t targets = 3;
+  // The time from the order to the deadline.
   Duration duration = std::chrono::seconds(12);
-  // Its targets are warm this long after the order.
+  // The time from the order until the candidate's targets are warm.
   Duration candidate_warm_after = std::chrono::seconds(3);
   CandidateFault fault;
   TargetFault target_fault;
-  // Share of reports that get lost.
+  // The share of reports that are lost.
   double lost_report_share = 0;
-  // Entry hosts that stop reporting, but not sending, after half the duration.
+  // The number of entry hosts that stop reporting, but not sending requests,
+  // after half of the duration.
   size_t isolated_hosts = 0;
   VersionComparisonOptions comparison;
   uint64_t seed = 1;
@@ -61,24 +72,28 @@
 
 struct RolloutSimulationResult {
   RolloutState state = RolloutState::kRunning;
+  // RolloutDecision::cause.
   std::string cause;
-  // Since the order.
+  // The time from the order to the agreement on the decision.
   Duration ended_after{};
-  // Until the deadline: attempts on the service, and on the candidate.
+  // The number of attempts on the service until the deadline, and of those on
+  // the candidate.
   uint64_t sent = 0;
   uint64_t sent_to_candidate = 0;
-  // The most that the bound allowed.
+  // The number of attempts on the candidate that the exposure bound allows.
   double exposure_limit = 0;
-  // Bad answers of the candidate, over all.
+  // The number of bad answers caused by the candidate's fault, in the whole
+  // run.
   uint64_t bad_answers = 0;
-  // From its 50th bad answer to the last request sent to it; negative: there
-  // were fewer.
+  // Seconds from the 50th of them to the last attempt sent to the candidate.
+  // Negative if there were fewer than 50.
   double last_sent_after_50th_bad_s = -1;
-  // Attempts on the stable version sent or under way after the end of a
-  // completed roll-out, by hosts that can be reached.
+  // The number of attempts on the stable version that were in flight at the end
+  // of a completed rollout, or that reachable hosts sent after it.
   uint64_t stable_attempts_after_end = 0;
 };
 
+// Runs a rollout until 16 seconds after its deadline.
 RolloutSimulationResult RunRolloutSimulation(
     const RolloutSimulationOptions& options);
 
--- a/knapweedroad/rollout/version_comparison.cc
+++ b/knapweedroad/rollout/version_comparison.cc
@@ -10,10 +10,11 @@
 namespace knapweedroad {
 namespace {
 
-// With fewer answers of the stable version its median says nothing yet, and no
-// latency counts as slow.
+// With fewer answers of the stable version its median is too uncertain, and no
+// answer counts as slow.
 constexpr double kMinAnswersForMedian = 4;
-// The first few answers need as much as these.
+// The number of answers that the threshold is computed for when there are
+// fewer.
 constexpr size_t kMinAnswersForThreshold = 8;
 
 }  // namespace
@@ -90,8 +91,8 @@
 }
 
 double VersionComparison::StableBadShare(const StableHistory& stable) const {
-  // One good and no bad answer more than were seen: a share of few answers
-  // proves little.
+  // Adds one good answer to those counted, because the share of a few answers
+  // is unreliable.
   const double share = stable.bad_total / (stable.total + 1);
   return std::max(share, this->options.min_stable_bad_share);
 }
@@ -99,7 +100,8 @@
 void VersionComparison::AddEvidence(Evidence& evidence,
                                     const TargetId& target,
                                     double log_likelihood_ratio) {
-  // A target's first answer: all sums without it have been those of the others.
+  // Before the first answer of a target, the sum without it equals the whole
+  // sum.
   ++evidence.answers;
   evidence.sums_without_target.try_emplace(target, evidence.sum);
   evidence.sum = std::max(0.0, evidence.sum + log_likelihood_ratio);
@@ -160,7 +162,7 @@
     this->CountCandidateAnswer(route, answers.target,
                                IsBad(route.stable, sample));
   }
-  // One that was given up soon might have been a good answer.
+  // An attempt that was given up early might have become a good answer.
   for (const char waited : answers.given_up) {
     if (IsBad(route.stable, static_cast<uint8_t>(waited))) {
       this->CountCandidateAnswer(route, answers.target, /*is_bad=*/true);
--- a/knapweedroad/rollout/version_comparison.h
+++ b/knapweedroad/rollout/version_comparison.h
@@ -1,14 +1,15 @@
-// Compares the answers of a candidate version with those of the stable one, as
-// they come in.
+// Compares the answers of a candidate version with those of the stable version
+// while they arrive.
 //
 //   VersionComparison comparison;
 //   comparison.Add(samples, now);
 //   if (comparison.is_worse()) RollBack(comparison.Describe());
 //
-// A sequential test: each answer of the candidate moves a sum by how much
-// likelier it is from a worse version than from one like the stable version.
-// The sum never falls below zero, so what turns bad late shows as fast as what
-// is bad from the start.
+// The comparison is a sequential test (CUSUM). Each answer of the candidate
+// adds its log likelihood ratio to a sum: the logarithm of how much likelier
+// the answer is from a worse version than from one like the stable version. The
+// sum is kept at zero or above, so a fault that begins late is detected as fast
+// as one that exists from the start.
 
 #ifndef KNAPWEEDROAD_ROLLOUT_VERSION_COMPARISON_H_
 #define KNAPWEEDROAD_ROLLOUT_VERSION_COMPARISON_H_
@@ -25,63 +26,77 @@
 
 namespace knapweedroad {
 
+// An answer is bad if it is a failure or slow.
 struct VersionComparisonOptions {
-  // An answer that takes this many times the stable version's median on the
-  // same route is a bad one, as a failure is.
+  // An answer is slow from this multiple of the stable version's median latency
+  // on the same route on.
   double slow_factor = 2.5;
-  // The least share of bad answers that the stable version is taken to have.
+  // The minimum share of bad answers that the stable version is assumed to
+  // have.
   double min_stable_bad_share = 0.04;
-  // A worse version has this many times the stable one's share of bad answers,
-  // within these bounds.
+  // A worse version is assumed to have this multiple of the stable version's
+  // share of bad answers, within these bounds.
   double worse_factor = 3;
   double min_worse_bad_share = 0.3;
   double max_worse_bad_share = 0.9;
-  // The sum, a log likelihood ratio, from which on the candidate is worse, is
-  // this and the logarithm of the number of its answers: a chance result needs
-  // the more the more answers there are. Of several targets the one that speaks
-  // most against the candidate is left out: it may be ill by itself.
+  // The candidate is worse from a sum of this value plus the natural logarithm
+  // of the number of its answers on. The threshold grows with the answers
+  // because more of them make a chance result likelier. If the candidate has
+  // several targets, the one with the most evidence against it is left out,
+  // because that target alone may be faulty.
   double base_threshold = 1.5;
-  // What is known of the stable version is half forgotten after this.
+  // The half-life of the counts of the stable version's answers.
   Duration stable_half_life = std::chrono::seconds(4);
 };
 
+// Keeps evidence for each route and for all routes together. Once the candidate
+// is found worse on either, it stays so. Not thread-safe.
 class VersionComparison {
  public:
   explicit VersionComparison(VersionComparisonOptions options = {});
 
+  // Adds answers of either version that arrive at `now`. An attempt that was
+  // given up counts as a slow answer if it had waited that long, and is ignored
+  // otherwise.
   void Add(const AnswerSamples& answers, TimePoint now);
 
-  // While it is on, what comes of the stable version changes nothing: it has
-  // too few requests to be compared with.
+  // Sets whether answers of the stable version are ignored. Used while that
+  // version gets too few requests to compare with.
   void SetStableFrozen(bool is_frozen) { this->is_stable_frozen = is_frozen; }
 
-  // Stays true once it is.
+  // Returns whether the candidate has been found worse. Stays true from then
+  // on.
   bool is_worse() const { return this->is_candidate_worse; }
 
-  // Whether nothing speaks against the candidate at present.
+  // Returns whether the evidence against the candidate is below half of the
+  // threshold, for each route and for all together, and it isn't found worse.
   bool is_evidence_weak() const;
 
+  // Return the number of the candidate's answers, and of the bad ones of them.
   size_t candidate_answers() const { return this->candidate_total; }
   size_t candidate_bad_answers() const { return this->candidate_bad_total; }
 
-  // The counts of both versions by route, and the sums, for the log.
+  // Returns the counts of both versions and the sums ("against") by route, for
+  // the log.
   std::string Describe() const;
 
  private:
   static constexpr size_t kSampleValues = 256;
 
+  // The answers of the stable version on one route.
   struct StableHistory {
-    // By sample; they fade.
+    // The number of answers by sample, decayed with the half-life.
     std::array<double, kSampleValues> counts{};
     double total = 0;
     TimePoint decayed_at;
-    // The least latency sample that is slow.
+    // The lowest sample of a slow answer. kMaxLatencySample if there are too
+    // few answers to determine it.
     uint8_t slow_threshold = 254;
     double bad_total = 0;
   };
 
-  // The sums over the answers of a route, or of all routes: of all targets, and
-  // of all targets but one.
+  // The sums of log likelihood ratios on one route or on all routes: over all
+  // targets, and for each target over all targets but that one.
   struct Evidence {
     double sum = 0;
     std::map<TargetId, double> sums_without_target;
@@ -109,7 +124,8 @@
   static void AddEvidence(Evidence& evidence,
                           const TargetId& target,
                           double log_likelihood_ratio);
-  // Without the target that speaks most against it, if there are others.
+  // Returns the sum without the target that has the most evidence against it,
+  // or the sum of the only target.
   static double SumWithoutWorstTarget(const Evidence& evidence);
   double EvidenceThreshold(const Evidence& evidence) const;
 
--- a/knapweedroad/rollout/version_comparison_test.cc
+++ b/knapweedroad/rollout/version_comparison_test.cc
@@ -26,7 +26,7 @@
   return answers;
 }
 
-// A stable version whose answers take about 10 ms.
+// Adds answers of the stable version that take about 10 ms.
 void AddStableAnswers(VersionComparison& comparison, int answers) {
   for (int i = 0; i < answers; ++i) {
     comparison.Add(MakeAnswer(i % 2 == 0 ? "old1" : "old2", false, 8 + i % 5),
@@ -68,8 +68,8 @@
   cr_expect(comparison.is_worse());
 }
 
-// Guards against judging by a mixture of routes: one whose answers take longer
-// makes the mixture's median, and a slow answer on the other looks usual.
+// Guards against comparing all routes together: the median of the route with
+// longer latencies would hide slow answers on the other one.
 Test(version_comparison, routes_are_compared_separately) {
   VersionComparison comparison;
   for (int i = 0; i < 200; ++i) {
@@ -83,7 +83,7 @@
   cr_expect(comparison.is_worse());
 }
 
-// Guards against many good answers of before that outweigh a late fault.
+// Guards against earlier good answers that outweigh a late fault.
 Test(version_comparison, a_late_fault_is_detected_as_fast) {
   VersionComparison comparison;
   AddStableAnswers(comparison, 200);
@@ -100,8 +100,8 @@
   cr_expect(answers <= 30, "%d", answers);
 }
 
-// Guards against a sound version that is rolled back since one of its targets
-// is ill by itself.
+// Guards against rolling back a good version because one of its targets is
+// faulty.
 Test(version_comparison, one_faulty_target_does_not_make_its_version_worse) {
   VersionComparison comparison;
   AddStableAnswers(comparison, 200);
@@ -112,7 +112,7 @@
   cr_expect(!comparison.is_worse());
 }
 
-// Guards against a version that is blamed for a trouble of all targets.
+// Guards against rolling back a version for a fault that affects all targets.
 Test(version_comparison, failures_shared_with_the_stable_version_are_ignored) {
   VersionComparison comparison;
   for (int i = 0; i < 200; ++i) {
