--- a/knapweedroad/routing/routing_config.h
+++ b/knapweedroad/routing/routing_config.h
@@ -35,7 +35,8 @@
 struct CallerLimits {
   size_t max_header_bytes = 16 << 10;
   size_t max_body_bytes = 256 << 10;
-  // The longest time that a caller may take to send a request's header.
+  // The longest time that a caller may take to send a request, from its first
+  // byte to the end of its body.
   Duration header_timeout = std::chrono::seconds(3);
   // How long a connection without a request stays open.
   Duration idle_timeout = std::chrono::seconds(15);
