--- a/knapweedroad/routing/request_run.cc
+++ b/knapweedroad/routing/request_run.cc
@@ -181,14 +181,14 @@
 }
 
 void RequestRun::RemoveAnswer(size_t shard_index) {
-  const auto at = std::ranges::find(this->answer_sources, shard_index,
-                                    &AnswerSource::shard_index);
-  if (at == this->answer_sources.end()) {
+  const auto source = std::ranges::find(this->answer_sources, shard_index,
+                                        &AnswerSource::shard_index);
+  if (source == this->answer_sources.end()) {
     return;
   }
   this->answers.erase(this->answers.begin() +
-                      (at - this->answer_sources.begin()));
-  this->answer_sources.erase(at);
+                      (source - this->answer_sources.begin()));
+  this->answer_sources.erase(source);
 }
 
 bool RequestRun::CanReplaceAnswers(std::span<const MergedAnswer> merged) const {
@@ -198,8 +198,8 @@
         this->attempt_shards[answer.attempt] == kEndedAttempt) {
       return false;
     }
-    const size_t shard = this->attempt_shards[answer.attempt];
-    const auto source = std::ranges::find(this->answer_sources, shard,
+    const size_t shard_index = this->attempt_shards[answer.attempt];
+    const auto source = std::ranges::find(this->answer_sources, shard_index,
                                           &AnswerSource::shard_index);
     if (source == this->answer_sources.end()) {
       continue;
--- a/knapweedroad/routing/request_run.h
+++ b/knapweedroad/routing/request_run.h
@@ -195,10 +195,10 @@
                           AttemptFailure failure,
                           TimePoint now);
   // Sends hedges and other attempts that are due, and ends the run at its
-  // deadline. Does no harm when called early.
+  // deadline. May be called early.
   RunStep OnWake(TimePoint now);
 
-  // Puts off the hedge of an attempt whose answer takes `delay` longer than
+  // Postpones the hedge of an attempt whose answer takes `delay` longer than
   // others to arrive. Called before the next step.
   void DelayHedge(uint32_t attempt, Duration delay);
 
