--- a/bench/capacity/membership_cost.cc
+++ b/bench/capacity/membership_cost.cc
@@ -100,7 +100,7 @@
   size_t Held() const {
     size_t held = 0;
     for (const auto& [name, leases] : this->hosts) {
-      held += leases.HeldTargets().size();
+      held += leases.HeldTargetIds().size();
     }
     return held;
   }
--- a/knapweedroad/admission/fair_queue.cc
+++ b/knapweedroad/admission/fair_queue.cc
@@ -8,17 +8,17 @@
 namespace {
 
 // Virtual time of one attempt at weight 1.
-constexpr uint64_t kUnit = uint64_t{1} << 24;
+constexpr uint64_t kVirtualTimeUnit = uint64_t{1} << 24;
 
-uint64_t CostAt(uint32_t weight) {
-  return kUnit / weight;
+uint64_t VirtualTimeCost(uint32_t weight) {
+  return kVirtualTimeUnit / weight;
 }
 
-template <typename Flows, typename HasWork>
-auto FurthestBehind(Flows& flows, HasWork has_work) {
+template <typename Flows, typename IsBacklogged>
+auto LeastVirtualTime(Flows& flows, IsBacklogged is_backlogged) {
   auto best = flows.end();
   for (auto flow = flows.begin(); flow != flows.end(); ++flow) {
-    if (!has_work(flow->second)) {
+    if (!is_backlogged(flow->second)) {
       continue;
     }
     if (best == flows.end() ||
@@ -31,28 +31,30 @@
 
 }  // namespace
 
-FairQueue::TenantFlow& FairQueue::TenantOf(const AdmissionRequest& request) {
+FairQueue::TenantFlow& FairQueue::ActivateTenant(
+    const AdmissionRequest& request) {
   TenantFlow& tenant = this->tenants[request.tenant];
   tenant.weight = std::max<uint32_t>(request.tenant_weight, 1);
   if (tenant.waiting == 0) {
-    tenant.virtual_time = std::max(tenant.virtual_time, this->clock);
+    tenant.virtual_time = std::max(tenant.virtual_time, this->virtual_clock);
   }
   return tenant;
 }
 
-FairQueue::ClassFlow& FairQueue::ClassOf(TenantFlow& tenant,
-                                         const AdmissionRequest& request) {
+FairQueue::ClassFlow& FairQueue::ActivateClass(
+    TenantFlow& tenant,
+    const AdmissionRequest& request) {
   ClassFlow& flow = tenant.classes[request.request_class];
   flow.weight = std::max<uint32_t>(request.class_weight, 1);
   if (flow.attempts.empty()) {
-    flow.virtual_time = std::max(flow.virtual_time, tenant.class_clock);
+    flow.virtual_time = std::max(flow.virtual_time, tenant.class_virtual_clock);
   }
   return flow;
 }
 
 void FairQueue::Push(AdmissionRequest request) {
-  TenantFlow& tenant = this->TenantOf(request);
-  ClassFlow& flow = this->ClassOf(tenant, request);
+  TenantFlow& tenant = this->ActivateTenant(request);
+  ClassFlow& flow = this->ActivateClass(tenant, request);
   const TimePoint deadline = request.deadline;
   flow.attempts.emplace(deadline, std::move(request));
   ++tenant.waiting;
@@ -64,34 +66,34 @@
     return std::nullopt;
   }
   TenantFlow& tenant =
-      FurthestBehind(this->tenants, [](const TenantFlow& flow) {
+      LeastVirtualTime(this->tenants, [](const TenantFlow& flow) {
         return flow.waiting > 0;
       })->second;
-  ClassFlow& flow = FurthestBehind(tenant.classes, [](const ClassFlow& flow) {
+  ClassFlow& flow = LeastVirtualTime(tenant.classes, [](const ClassFlow& flow) {
                       return !flow.attempts.empty();
                     })->second;
   AdmissionRequest request =
       std::move(flow.attempts.extract(flow.attempts.begin()).mapped());
-  this->clock = tenant.virtual_time;
-  tenant.class_clock = flow.virtual_time;
-  flow.virtual_time += CostAt(flow.weight);
-  tenant.virtual_time += CostAt(tenant.weight);
+  this->virtual_clock = tenant.virtual_time;
+  tenant.class_virtual_clock = flow.virtual_time;
+  flow.virtual_time += VirtualTimeCost(flow.weight);
+  tenant.virtual_time += VirtualTimeCost(tenant.weight);
   --tenant.waiting;
   --this->waiting;
-  this->ForgetIdle(tenant);
+  this->RemoveIdle(tenant);
   return request;
 }
 
 // Tenants and classes come and go; only those with work, or with a debt, are
 // kept.
-void FairQueue::ForgetIdle(TenantFlow& served) {
+void FairQueue::RemoveIdle(TenantFlow& served) {
   std::erase_if(served.classes, [&](const auto& entry) {
     return entry.second.attempts.empty() &&
-           entry.second.virtual_time <= served.class_clock;
+           entry.second.virtual_time <= served.class_virtual_clock;
   });
   std::erase_if(this->tenants, [&](const auto& entry) {
     return entry.second.waiting == 0 &&
-           entry.second.virtual_time <= this->clock;
+           entry.second.virtual_time <= this->virtual_clock;
   });
 }
 
@@ -119,7 +121,7 @@
   return found;
 }
 
-uint64_t FairQueue::WaitingWeight() const {
+uint64_t FairQueue::BackloggedWeight() const {
   uint64_t sum = 0;
   for (const auto& [id, tenant] : this->tenants) {
     sum += tenant.waiting > 0 ? tenant.weight : 0;
@@ -127,19 +129,19 @@
   return sum;
 }
 
-uint32_t FairQueue::Position(uint64_t tenant_ahead,
-                             uint32_t tenant_weight,
-                             uint64_t total_weight) const {
-  const uint64_t ahead = tenant_ahead * total_weight / tenant_weight;
+uint32_t FairQueue::ExpectedPosition(uint64_t ahead_in_tenant,
+                                     uint32_t tenant_weight,
+                                     uint64_t total_weight) const {
+  const uint64_t ahead = ahead_in_tenant * total_weight / tenant_weight;
   return static_cast<uint32_t>(std::min<uint64_t>(ahead, this->waiting));
 }
 
 uint32_t FairQueue::PositionOf(const AdmissionRequest& request) const {
   const uint32_t weight = std::max<uint32_t>(request.tenant_weight, 1);
-  uint64_t total_weight = this->WaitingWeight();
+  uint64_t total_weight = this->BackloggedWeight();
   const auto tenant = this->tenants.find(request.tenant);
   if (tenant == this->tenants.end() || tenant->second.waiting == 0) {
-    return this->Position(1, weight, total_weight);
+    return this->ExpectedPosition(1, weight, total_weight);
   }
   const TenantFlow& own = tenant->second;
   uint64_t class_weights = 0;
@@ -155,21 +157,21 @@
         attempts.begin(), attempts.upper_bound(request.deadline)));
   }
   ahead = std::min<uint64_t>(ahead * class_weights / class_weight, own.waiting);
-  return this->Position(ahead, weight, total_weight);
+  return this->ExpectedPosition(ahead, weight, total_weight);
 }
 
-bool FairQueue::OverShare(const TenantId& tenant) const {
+bool FairQueue::IsOverShare(const TenantId& tenant) const {
   const auto found = this->tenants.find(tenant);
   if (found == this->tenants.end()) {
     return false;
   }
   const TenantFlow& own = found->second;
-  return uint64_t{own.waiting} * this->WaitingWeight() >
+  return uint64_t{own.waiting} * this->BackloggedWeight() >
          uint64_t{this->waiting} * own.weight;
 }
 
 void FairQueue::ForEach(const Visitor& visitor) const {
-  const uint64_t total_weight = this->WaitingWeight();
+  const uint64_t total_weight = this->BackloggedWeight();
   for (const auto& [id, tenant] : this->tenants) {
     uint64_t class_weights = 0;
     for (const auto& [name, flow] : tenant.classes) {
@@ -178,10 +180,10 @@
     for (const auto& [name, flow] : tenant.classes) {
       uint64_t ahead = 0;
       for (const auto& [deadline, request] : flow.attempts) {
-        const uint64_t in_tenant = std::min<uint64_t>(
+        const uint64_t ahead_in_tenant = std::min<uint64_t>(
             ahead * class_weights / flow.weight, tenant.waiting - 1);
-        visitor(request,
-                this->Position(in_tenant, tenant.weight, total_weight));
+        visitor(request, this->ExpectedPosition(ahead_in_tenant, tenant.weight,
+                                                total_weight));
         ++ahead;
       }
     }
@@ -189,27 +191,28 @@
 }
 
 std::optional<AdmissionRequest> FairQueue::EvictMostOverShare() {
-  TenantFlow* worst = nullptr;
+  TenantFlow* most_over_share = nullptr;
   for (auto& [id, tenant] : this->tenants) {
     if (tenant.waiting == 0) {
       continue;
     }
-    if (worst == nullptr || uint64_t{tenant.waiting} * worst->weight >
-                                uint64_t{worst->waiting} * tenant.weight) {
-      worst = &tenant;
+    if (most_over_share == nullptr ||
+        uint64_t{tenant.waiting} * most_over_share->weight >
+            uint64_t{most_over_share->waiting} * tenant.weight) {
+      most_over_share = &tenant;
     }
   }
-  if (worst == nullptr) {
+  if (most_over_share == nullptr) {
     return std::nullopt;
   }
   ClassFlow* flow = nullptr;
-  for (auto& [name, candidate] : worst->classes) {
+  for (auto& [name, candidate] : most_over_share->classes) {
     if (flow == nullptr || candidate.attempts.size() * flow->weight >
                                flow->attempts.size() * candidate.weight) {
       flow = &candidate;
     }
   }
-  --worst->waiting;
+  --most_over_share->waiting;
   --this->waiting;
   const auto last = std::prev(flow->attempts.end());
   return std::move(flow->attempts.extract(last).mapped());
--- a/knapweedroad/admission/fair_queue.h
+++ b/knapweedroad/admission/fair_queue.h
@@ -41,7 +41,7 @@
   uint32_t PositionOf(const AdmissionRequest& request) const;
 
   // Whether the tenant has more waiting, for its weight, than the average.
-  bool OverShare(const TenantId& tenant) const;
+  bool IsOverShare(const TenantId& tenant) const;
 
   // Visits each waiting attempt with the number expected to be served first.
   using Visitor = std::function<void(const AdmissionRequest&, uint32_t)>;
@@ -68,21 +68,21 @@
     uint32_t weight = 1;
     uint32_t waiting = 0;
     // The virtual time of the class served last.
-    uint64_t class_clock = 0;
+    uint64_t class_virtual_clock = 0;
     std::map<std::string, ClassFlow, std::less<>> classes;
   };
 
-  TenantFlow& TenantOf(const AdmissionRequest& request);
-  ClassFlow& ClassOf(TenantFlow& tenant, const AdmissionRequest& request);
-  void ForgetIdle(TenantFlow& served);
-  uint64_t WaitingWeight() const;
-  uint32_t Position(uint64_t tenant_ahead,
-                    uint32_t tenant_weight,
-                    uint64_t total_weight) const;
+  TenantFlow& ActivateTenant(const AdmissionRequest& request);
+  ClassFlow& ActivateClass(TenantFlow& tenant, const AdmissionRequest& request);
+  void RemoveIdle(TenantFlow& served);
+  uint64_t BackloggedWeight() const;
+  uint32_t ExpectedPosition(uint64_t ahead_in_tenant,
+                            uint32_t tenant_weight,
+                            uint64_t total_weight) const;
 
   uint32_t waiting = 0;
   // The virtual time of the tenant served last.
-  uint64_t clock = 0;
+  uint64_t virtual_clock = 0;
   std::map<TenantId, TenantFlow> tenants;
 };
 
--- a/knapweedroad/admission/lease_grantor.cc
+++ b/knapweedroad/admission/lease_grantor.cc
@@ -7,33 +7,33 @@
 namespace {
 
 // No message is delayed for longer and then delivered.
-constexpr Duration kAskerMemory = std::chrono::minutes(2);
+constexpr Duration kRequesterRetention = std::chrono::minutes(2);
 
 }  // namespace
 
 LeaseGrantor::LeaseGrantor(const Options& options)
     : options(options),
       grants_from(options.started +
-                  options.timing.Stretched(options.timing.length)),
-      forgotten_busy_until(
+                  options.timing.LocalUpperBound(options.timing.length)),
+      unrecorded_work_until(
           this->grants_from +
-          options.timing.Stretched(options.timing.max_work_time)) {}
+          options.timing.LocalUpperBound(options.timing.max_work_time)) {}
 
 std::optional<LeaseReply> LeaseGrantor::OnRequest(const LeaseRequest& request,
                                                   TimePoint now) {
-  this->ForgetOld(now);
-  if (this->IsOvertaken(request, now)) {
+  this->RemoveExpired(now);
+  if (this->IsOutOfOrder(request, now)) {
     return std::nullopt;
   }
   LeaseReply reply{.grantor = this->options.self,
                    .incarnation = request.incarnation,
                    .sequence = request.sequence,
                    .grants = {}};
-  for (const LeaseAsk& ask : request.asks) {
-    if (ask.release) {
-      this->Release(request, ask, now);
+  for (const LeaseOperation& operation : request.operations) {
+    if (operation.release) {
+      this->Release(request, operation, now);
     } else {
-      reply.grants.push_back(this->Decide(request, ask, now));
+      reply.grants.push_back(this->Acquire(request, operation, now));
     }
   }
   return reply;
@@ -42,70 +42,76 @@
 // A release that was delayed until its sender holds the lease again would free
 // what is in use; an ask delayed past a release only blocks others for a while.
 // Both are passed over.
-bool LeaseGrantor::IsOvertaken(const LeaseRequest& request, TimePoint now) {
-  Asker& asker = this->askers[request.holder];
+bool LeaseGrantor::IsOutOfOrder(const LeaseRequest& request, TimePoint now) {
+  Requester& requester = this->requesters[request.holder];
   const auto order = std::pair(request.incarnation, request.sequence);
-  if (order <= asker.latest) {
+  if (order <= requester.latest_order) {
     return true;
   }
-  asker.latest = order;
-  asker.heard = now;
+  requester.latest_order = order;
+  requester.received_at = now;
   return false;
 }
 
-LeaseGrantor::Grant& LeaseGrantor::GrantOf(const LeaseAsk& ask) {
-  const Grant unknown{.busy_until = this->forgotten_busy_until};
-  return this->grants.try_emplace(Resource(ask.target, ask.part), unknown)
+LeaseGrantor::Grant& LeaseGrantor::FindOrAddGrant(
+    const LeaseOperation& operation) {
+  const Grant initial{.former_work_until = this->unrecorded_work_until};
+  return this->grants
+      .try_emplace(Resource(operation.target, operation.part), initial)
       .first->second;
 }
 
 // What earlier holders left running stays on record: the one that gives back
 // speaks for its own work only.
 void LeaseGrantor::Release(const LeaseRequest& request,
-                           const LeaseAsk& ask,
+                           const LeaseOperation& operation,
                            TimePoint now) {
-  Grant& grant = this->GrantOf(ask);
-  const bool own = grant.holder == request.holder &&
-                   grant.incarnation == request.incarnation;
-  if (!own) {
+  Grant& grant = this->FindOrAddGrant(operation);
+  const bool is_holder = grant.holder == request.holder &&
+                         grant.incarnation == request.incarnation;
+  if (!is_holder) {
     return;
   }
   grant.holder = HostId();
   grant.wanted = false;
-  const Duration left = this->options.timing.Stretched(ask.work_time);
-  grant.busy_until = std::max(grant.busy_until, now + left);
+  const Duration remaining_work =
+      this->options.timing.LocalUpperBound(operation.work_time);
+  grant.former_work_until =
+      std::max(grant.former_work_until, now + remaining_work);
 }
 
-LeaseGrant LeaseGrantor::Decide(const LeaseRequest& request,
-                                const LeaseAsk& ask,
-                                TimePoint now) {
-  LeaseGrant answer{.target = ask.target, .part = ask.part};
+LeaseGrant LeaseGrantor::Acquire(const LeaseRequest& request,
+                                 const LeaseOperation& operation,
+                                 TimePoint now) {
+  LeaseGrant result{.target = operation.target, .part = operation.part};
   if (now < this->grants_from) {
-    return answer;
+    return result;
   }
-  Grant& grant = this->GrantOf(ask);
-  if (!this->Assign(grant, request, now)) {
+  Grant& grant = this->FindOrAddGrant(operation);
+  if (!this->TryAssign(grant, request, now)) {
     grant.wanted = true;
-    return answer;
+    return result;
   }
   grant.expiry = now + this->options.timing.length;
-  const Duration work_time = this->options.timing.Stretched(ask.work_time);
+  const Duration work_time =
+      this->options.timing.LocalUpperBound(operation.work_time);
   grant.work_time = std::max(grant.work_time, work_time);
-  answer.granted = true;
-  answer.wait = std::max<Duration>(grant.busy_until - now, Duration::zero());
-  answer.wanted = grant.wanted;
-  return answer;
+  result.granted = true;
+  result.start_delay =
+      std::max<Duration>(grant.former_work_until - now, Duration::zero());
+  result.wanted = grant.wanted;
+  return result;
 }
 
 // Whether the grant is, or becomes, the asker's.
-bool LeaseGrantor::Assign(Grant& grant,
-                          const LeaseRequest& request,
-                          TimePoint now) {
+bool LeaseGrantor::TryAssign(Grant& grant,
+                             const LeaseRequest& request,
+                             TimePoint now) {
   const bool same_host = grant.holder == request.holder;
   if (same_host && grant.incarnation == request.incarnation) {
     return true;
   }
-  if (!grant.holder.empty() && !this->TakeOver(grant, same_host, now)) {
+  if (!grant.holder.empty() && !this->TryEndGrant(grant, same_host, now)) {
     return false;
   }
   grant.holder = request.holder;
@@ -117,29 +123,30 @@
 
 // Where a holder lost a grant without giving it back, its work is counted on
 // for its longest time.
-bool LeaseGrantor::TakeOver(Grant& grant, bool same_host, TimePoint now) {
+bool LeaseGrantor::TryEndGrant(Grant& grant, bool same_host, TimePoint now) {
   // The host's former life sent nothing after its end, which is past by now.
   const TimePoint end = same_host ? std::min(now, grant.expiry) : grant.expiry;
   if (now < end) {
     return false;
   }
-  grant.busy_until = std::max(grant.busy_until, end + grant.work_time);
+  grant.former_work_until =
+      std::max(grant.former_work_until, end + grant.work_time);
   return true;
 }
 
 // A grant without a trace in the present is forgotten, as one never given.
-void LeaseGrantor::ForgetOld(TimePoint now) {
-  std::erase_if(this->askers, [&](const auto& entry) {
-    return now - entry.second.heard > kAskerMemory;
+void LeaseGrantor::RemoveExpired(TimePoint now) {
+  std::erase_if(this->requesters, [&](const auto& entry) {
+    return now - entry.second.received_at > kRequesterRetention;
   });
-  if (now < this->forgotten_busy_until) {
+  if (now < this->unrecorded_work_until) {
     return;
   }
   std::erase_if(this->grants, [&](const auto& entry) {
     const Grant& grant = entry.second;
     const bool ended =
         grant.holder.empty() || now >= grant.expiry + grant.work_time;
-    return ended && now >= grant.busy_until;
+    return ended && now >= grant.former_work_until;
   });
 }
 
--- a/knapweedroad/admission/lease_grantor.h
+++ b/knapweedroad/admission/lease_grantor.h
@@ -46,30 +46,32 @@
     TimePoint expiry{};
     Duration work_time{};
     // Until when work of any former holder may run.
-    TimePoint busy_until{};
+    TimePoint former_work_until{};
     bool wanted = false;
   };
-  struct Asker {
-    std::pair<uint64_t, uint64_t> latest;
-    TimePoint heard{};
+  struct Requester {
+    std::pair<uint64_t, uint64_t> latest_order;
+    TimePoint received_at{};
   };
 
-  bool IsOvertaken(const LeaseRequest& request, TimePoint now);
-  Grant& GrantOf(const LeaseAsk& ask);
-  void Release(const LeaseRequest& request, const LeaseAsk& ask, TimePoint now);
-  LeaseGrant Decide(const LeaseRequest& request,
-                    const LeaseAsk& ask,
-                    TimePoint now);
-  bool Assign(Grant& grant, const LeaseRequest& request, TimePoint now);
-  bool TakeOver(Grant& grant, bool same_host, TimePoint now);
-  void ForgetOld(TimePoint now);
+  bool IsOutOfOrder(const LeaseRequest& request, TimePoint now);
+  Grant& FindOrAddGrant(const LeaseOperation& operation);
+  void Release(const LeaseRequest& request,
+               const LeaseOperation& operation,
+               TimePoint now);
+  LeaseGrant Acquire(const LeaseRequest& request,
+                     const LeaseOperation& operation,
+                     TimePoint now);
+  bool TryAssign(Grant& grant, const LeaseRequest& request, TimePoint now);
+  bool TryEndGrant(Grant& grant, bool same_host, TimePoint now);
+  void RemoveExpired(TimePoint now);
 
   Options options;
   TimePoint grants_from;
   // What may run of the grants of a former life of this host.
-  TimePoint forgotten_busy_until;
+  TimePoint unrecorded_work_until;
   std::map<Resource, Grant> grants;
-  std::map<HostId, Asker> askers;
+  std::map<HostId, Requester> requesters;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/admission/lease_holder.cc
+++ b/knapweedroad/admission/lease_holder.cc
@@ -17,18 +17,18 @@
 
 LeaseHolder::LeaseHolder(const Options& options)
     : options(options),
-      contacts({.self = options.self,
-                .started = options.started,
-                .zone_hosts = options.zone_hosts,
-                .electorate = options.electorate,
-                .timing = options.timing}) {}
+      peer_liveness({.self = options.self,
+                     .started = options.started,
+                     .zone_hosts = options.zone_hosts,
+                     .voters = options.voters,
+                     .timing = options.timing}) {}
 
 LeaseHolder::Entry LeaseHolder::NewEntry(const LeaseTarget& target) const {
   std::vector<HostId> order =
       RendezvousOrder(target.target, this->options.zone_hosts);
   TargetLease::Options lease{
       .slots = target.slots,
-      .votes_needed = this->options.electorate.size() / 2 + 1,
+      .votes_needed = this->options.voters.size() / 2 + 1,
       .owners = {},
       .self = this->options.self};
   for (std::size_t rank = 0; rank < TargetLease::kMaxOwners; ++rank) {
@@ -37,14 +37,14 @@
     }
   }
   return {.lease = TargetLease(lease),
-          .order = std::move(order),
+          .preference_order = std::move(order),
           .work_time = target.work_time};
 }
 
 void LeaseHolder::SetTargets(std::span<const LeaseTarget> targets, TimePoint) {
-  std::set<TargetId> named;
+  std::set<TargetId> listed;
   for (const LeaseTarget& target : targets) {
-    named.insert(target.target);
+    listed.insert(target.target);
     const auto found = this->entries.find(target.target);
     if (found == this->entries.end()) {
       this->entries.emplace(target.target, this->NewEntry(target));
@@ -55,12 +55,12 @@
         std::max(found->second.work_time, target.work_time);
   }
   for (auto& [target, entry] : this->entries) {
-    entry.removed = !named.contains(target);
+    entry.removed = !listed.contains(target);
   }
 }
 
 void LeaseHolder::SetEligibleHosts(std::span<const HostId> hosts, TimePoint) {
-  this->eligible = std::set<HostId>(hosts.begin(), hosts.end());
+  this->eligible_hosts = std::set<HostId>(hosts.begin(), hosts.end());
 }
 
 void LeaseHolder::OnDrained(const TargetId& target) {
@@ -71,53 +71,53 @@
   Entry& entry = found->second;
   entry.may_have_work = false;
   if (entry.lease.phase == LeasePhase::kDraining) {
-    this->GiveBack(target, entry);
+    this->ReleaseGrants(target, entry);
   }
 }
 
 // A reply of an earlier life of this host would count a lease from the wrong
 // moment: sequences start anew with each incarnation.
 void LeaseHolder::OnReply(const LeaseReply& reply, TimePoint now) {
-  const auto asked = this->sent.find(reply.sequence);
+  const auto request = this->sent_at.find(reply.sequence);
   if (reply.incarnation != this->options.incarnation ||
-      asked == this->sent.end()) {
+      request == this->sent_at.end()) {
     return;
   }
-  this->contacts.OnAnswered(reply.grantor, asked->second, now);
+  this->peer_liveness.OnReply(reply.grantor, request->second, now);
   for (const LeaseGrant& grant : reply.grants) {
     const auto found = this->entries.find(grant.target);
     if (found == this->entries.end() ||
-        reply.sequence < found->second.valid_from_sequence) {
+        reply.sequence < found->second.min_valid_sequence) {
       continue;
     }
     TargetLease& lease = found->second.lease;
     if (lease.phase == LeasePhase::kIdle) {
       continue;
     }
-    lease.OnGrant(reply.grantor, grant, asked->second, now,
+    lease.OnGrant(reply.grantor, grant, request->second, now,
                   this->options.timing);
     if (lease.phase == LeasePhase::kRequesting && lease.MajorityUntil() > now) {
       lease.phase = LeasePhase::kHeld;
-      this->AskParts(grant.target, found->second);
+      this->RequestSlotParts(grant.target, found->second);
     }
   }
 }
 
 LeaseActions LeaseHolder::Tick(TimePoint now) {
   LeaseActions actions;
-  if (now >= this->next_round) {
-    this->next_round = now + this->options.retry_interval;
+  if (now >= this->next_advance) {
+    this->next_advance = now + this->options.retry_interval;
     for (auto& [target, entry] : this->entries) {
       this->Advance(target, entry, now);
     }
-    this->KeepAlive(now);
+    this->AddKeepAlives(now);
   }
   this->UpdateShares(now, actions);
-  this->Flush(now, actions);
+  this->CreateMessages(now, actions);
   return actions;
 }
 
-std::vector<TargetId> LeaseHolder::HeldTargets() const {
+std::vector<TargetId> LeaseHolder::HeldTargetIds() const {
   std::vector<TargetId> held;
   for (const auto& [target, entry] : this->entries) {
     if (entry.share.slots > 0) {
@@ -127,7 +127,7 @@
   return held;
 }
 
-std::vector<HeldTarget> LeaseHolder::Holdings(TimePoint now) const {
+std::vector<HeldTarget> LeaseHolder::HeldTargets(TimePoint now) const {
   std::vector<HeldTarget> holdings;
   for (const auto& [target, entry] : this->entries) {
     if (entry.share.slots > 0) {
@@ -141,16 +141,16 @@
   return holdings;
 }
 
-const HostId* LeaseHolder::Preferred(const Entry& entry) const {
-  for (const HostId& host : entry.order) {
-    if (this->eligible.contains(host)) {
+const HostId* LeaseHolder::PreferredHost(const Entry& entry) const {
+  for (const HostId& host : entry.preference_order) {
+    if (this->eligible_hosts.contains(host)) {
       return &host;
     }
   }
   return nullptr;
 }
 
-uint32_t LeaseHolder::Draining() const {
+uint32_t LeaseHolder::DrainingCount() const {
   return static_cast<uint32_t>(std::count_if(
       this->entries.begin(), this->entries.end(), [](const auto& item) {
         return item.second.lease.phase == LeasePhase::kDraining;
@@ -168,8 +168,8 @@
       break;
     case LeasePhase::kRequesting:
       // Votes without a majority would keep another host from getting one.
-      this->GiveBack(target, entry);
-      entry.next_ask =
+      this->ReleaseGrants(target, entry);
+      entry.next_request =
           now + this->options.retry_interval * (1 + lease.OwnRank());
       break;
     case LeasePhase::kHeld:
@@ -177,10 +177,10 @@
       break;
     case LeasePhase::kIsolated:
       if (this->leaving || entry.removed || lease.own_part_wanted ||
-          !this->contacts.Isolated(now)) {
+          !this->peer_liveness.IsIsolated(now)) {
         lease.phase = LeasePhase::kDraining;
       }
-      this->AskOwnPart(target, entry);
+      this->RequestOwnPart(target, entry);
       break;
     case LeasePhase::kDraining:
       this->AdvanceDraining(target, entry, now);
@@ -191,45 +191,47 @@
 void LeaseHolder::AdvanceIdle(const TargetId& target,
                               Entry& entry,
                               TimePoint now) {
-  const HostId* preferred = this->Preferred(entry);
-  if (this->leaving || entry.removed || now < entry.next_ask) {
+  const HostId* preferred = this->PreferredHost(entry);
+  if (this->leaving || entry.removed || now < entry.next_request) {
     return;
   }
-  if (this->contacts.Isolated(now)) {
-    if (this->contacts.MayActIsolated(now) &&
+  if (this->peer_liveness.IsIsolated(now)) {
+    if (this->peer_liveness.MayUseOwnPart(now) &&
         entry.lease.OwnRank() < TargetLease::kMaxOwners) {
       entry.lease.phase = LeasePhase::kIsolated;
-      this->AskOwnPart(target, entry);
+      this->RequestOwnPart(target, entry);
     }
     return;
   }
   if (preferred != nullptr && *preferred == this->options.self) {
     entry.lease.phase = LeasePhase::kRequesting;
-    this->AskVotes(target, entry);
+    this->RequestVotes(target, entry);
   }
 }
 
 void LeaseHolder::AdvanceHeld(const TargetId& target,
                               Entry& entry,
                               TimePoint now) {
-  const HostId* preferred = this->Preferred(entry);
-  const bool better = preferred != nullptr && *preferred != this->options.self;
-  if (!better) {
-    entry.better_since = TimePoint::max();
-  } else if (entry.better_since == TimePoint::max()) {
-    entry.better_since = now;
+  const HostId* preferred = this->PreferredHost(entry);
+  const bool other_preferred =
+      preferred != nullptr && *preferred != this->options.self;
+  if (!other_preferred) {
+    entry.other_preferred_since = TimePoint::max();
+  } else if (entry.other_preferred_since == TimePoint::max()) {
+    entry.other_preferred_since = now;
   }
   const bool hand_over =
-      better && now - entry.better_since >= this->options.handover_delay &&
-      this->Draining() < this->options.max_handovers;
+      other_preferred &&
+      now - entry.other_preferred_since >= this->options.handover_delay &&
+      this->DrainingCount() < this->options.max_handovers;
   if (this->leaving || entry.removed || hand_over) {
     entry.lease.phase = LeasePhase::kDraining;
-    entry.better_since = TimePoint::max();
+    entry.other_preferred_since = TimePoint::max();
   }
   if (now >= entry.next_renewal) {
     entry.next_renewal = now + this->options.timing.length / kRenewalsPerLease;
-    this->AskVotes(target, entry);
-    this->AskParts(target, entry);
+    this->RequestVotes(target, entry);
+    this->RequestSlotParts(target, entry);
   }
 }
 
@@ -239,92 +241,93 @@
                                   Entry& entry,
                                   TimePoint now) {
   if (!entry.may_have_work) {
-    this->GiveBack(target, entry);
+    this->ReleaseGrants(target, entry);
     return;
   }
   if (entry.lease.MajorityUntil() > now) {
-    this->AskVotes(target, entry);
-    this->AskParts(target, entry);
+    this->RequestVotes(target, entry);
+    this->RequestSlotParts(target, entry);
     return;
   }
-  this->AskOwnPart(target, entry);
+  this->RequestOwnPart(target, entry);
 }
 
-void LeaseHolder::AskVotes(const TargetId& target, const Entry& entry) {
-  for (const HostId& host : this->options.electorate) {
-    this->asks[host].push_back({.target = target,
-                                .part = LeasePart::kVote,
-                                .work_time = entry.work_time});
+void LeaseHolder::RequestVotes(const TargetId& target, const Entry& entry) {
+  for (const HostId& host : this->options.voters) {
+    this->pending_operations[host].push_back({.target = target,
+                                              .part = LeasePart::kVote,
+                                              .work_time = entry.work_time});
   }
 }
 
-void LeaseHolder::AskParts(const TargetId& target, const Entry& entry) {
+void LeaseHolder::RequestSlotParts(const TargetId& target, const Entry& entry) {
   for (const HostId& host : entry.lease.owners()) {
     if (!host.empty()) {
-      this->asks[host].push_back({.target = target,
-                                  .part = LeasePart::kSlots,
-                                  .work_time = entry.work_time});
+      this->pending_operations[host].push_back({.target = target,
+                                                .part = LeasePart::kSlots,
+                                                .work_time = entry.work_time});
     }
   }
 }
 
-void LeaseHolder::AskOwnPart(const TargetId& target, const Entry& entry) {
+void LeaseHolder::RequestOwnPart(const TargetId& target, const Entry& entry) {
   if (entry.lease.OwnRank() >= TargetLease::kMaxOwners) {
     return;
   }
-  this->asks[this->options.self].push_back({.target = target,
-                                            .part = LeasePart::kSlots,
-                                            .work_time = entry.work_time});
+  this->pending_operations[this->options.self].push_back(
+      {.target = target,
+       .part = LeasePart::kSlots,
+       .work_time = entry.work_time});
 }
 
 // Gives all of it back. It is said along how long work under it may run, as a
 // host that lost its majority may still have work of before.
-void LeaseHolder::GiveBack(const TargetId& target, Entry& entry) {
-  const Duration work =
+void LeaseHolder::ReleaseGrants(const TargetId& target, Entry& entry) {
+  const Duration work_time =
       entry.may_have_work ? entry.work_time : Duration::zero();
-  for (const HostId& host : this->options.electorate) {
-    this->asks[host].push_back({.target = target,
-                                .part = LeasePart::kVote,
-                                .release = true,
-                                .work_time = work});
+  for (const HostId& host : this->options.voters) {
+    this->pending_operations[host].push_back({.target = target,
+                                              .part = LeasePart::kVote,
+                                              .release = true,
+                                              .work_time = work_time});
   }
   for (const HostId& host : entry.lease.owners()) {
     if (!host.empty()) {
-      this->asks[host].push_back({.target = target,
-                                  .part = LeasePart::kSlots,
-                                  .release = true,
-                                  .work_time = work});
+      this->pending_operations[host].push_back({.target = target,
+                                                .part = LeasePart::kSlots,
+                                                .release = true,
+                                                .work_time = work_time});
     }
   }
   entry.lease.Clear();
   entry.lease.phase = LeasePhase::kIdle;
-  entry.given_back = true;
+  entry.release_pending = true;
 }
 
 // Asks every voter for a sign of life, and every host of the zone that has not
 // yet answered this incarnation.
-void LeaseHolder::KeepAlive(TimePoint now) {
+void LeaseHolder::AddKeepAlives(TimePoint now) {
   if (now < this->next_keepalive) {
     return;
   }
   this->next_keepalive = now + this->options.timing.length / kRenewalsPerLease;
-  for (const HostId& host : this->options.electorate) {
-    this->asks.try_emplace(host);
+  for (const HostId& host : this->options.voters) {
+    this->pending_operations.try_emplace(host);
   }
   for (const HostId& host : this->options.zone_hosts) {
-    if (!this->contacts.HasAnswered(host)) {
-      this->asks.try_emplace(host);
+    if (!this->peer_liveness.HasReplied(host)) {
+      this->pending_operations.try_emplace(host);
     }
   }
 }
 
 void LeaseHolder::UpdateShares(TimePoint now, LeaseActions& actions) {
-  this->next_wake = this->next_round;
-  const auto stopped = [&](const HostId& host) {
-    return this->contacts.StoppedFrom(host);
+  this->next_wake = this->next_advance;
+  const auto stopped_from = [&](const HostId& host) {
+    return this->peer_liveness.StoppedFrom(host);
   };
   for (auto& [target, entry] : this->entries) {
-    const TargetShare share = entry.lease.Share(now, stopped);
+    const TargetShare share = entry.lease.Share(now, stopped_from);
     if (share.slots > 0) {
       entry.may_have_work = true;
       this->next_wake = std::min(this->next_wake, share.valid_until);
@@ -344,40 +347,41 @@
   });
 }
 
-void LeaseHolder::Flush(TimePoint now, LeaseActions& actions) {
-  std::erase_if(this->sent, [&](const auto& entry) {
+void LeaseHolder::CreateMessages(TimePoint now, LeaseActions& actions) {
+  std::erase_if(this->sent_at, [&](const auto& entry) {
     return now - entry.second > this->options.timing.length;
   });
-  const bool all_given_back =
+  const bool all_released =
       std::all_of(this->entries.begin(), this->entries.end(), [](auto& item) {
         return item.second.lease.phase == LeasePhase::kIdle &&
                !item.second.may_have_work;
       });
-  const bool goodbye = this->leaving && all_given_back && !this->said_goodbye;
-  if (goodbye) {
-    this->said_goodbye = true;
+  const bool is_final =
+      this->leaving && all_released && !this->final_request_sent;
+  if (is_final) {
+    this->final_request_sent = true;
     for (const HostId& host : this->options.zone_hosts) {
-      this->asks.try_emplace(host);
+      this->pending_operations.try_emplace(host);
     }
   }
-  for (auto& [host, asks] : this->asks) {
+  for (auto& [host, operations] : this->pending_operations) {
     ++this->sequence;
-    this->sent.emplace(this->sequence, now);
+    this->sent_at.emplace(this->sequence, now);
     actions.messages.push_back(
         {.to = host,
          .request = {.holder = this->options.self,
                      .incarnation = this->options.incarnation,
                      .sequence = this->sequence,
-                     .goodbye = goodbye,
-                     .asks = std::move(asks)}});
+                     .is_final = is_final,
+                     .operations = std::move(operations)}});
   }
-  this->asks.clear();
+  this->pending_operations.clear();
   // A grant that crosses its own release on the way is none: its grantor has
   // given the target on by then, perhaps.
   for (auto& [target, entry] : this->entries) {
-    if (entry.given_back) {
-      entry.given_back = false;
-      entry.valid_from_sequence = this->sequence + 1;
+    if (entry.release_pending) {
+      entry.release_pending = false;
+      entry.min_valid_sequence = this->sequence + 1;
     }
   }
 }
--- a/knapweedroad/admission/lease_holder.h
+++ b/knapweedroad/admission/lease_holder.h
@@ -20,9 +20,9 @@
 #include "knapweedroad/admission/lease_reply.h"
 #include "knapweedroad/admission/lease_request.h"
 #include "knapweedroad/admission/lease_timing.h"
+#include "knapweedroad/admission/peer_liveness.h"
 #include "knapweedroad/admission/target_lease.h"
 #include "knapweedroad/admission/target_share.h"
-#include "knapweedroad/admission/zone_contacts.h"
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/target/held_target.h"
 
@@ -61,7 +61,7 @@
     TimePoint started{};
     // All configured hosts of the zone, this one included.
     std::vector<HostId> zone_hosts;
-    std::vector<HostId> electorate;
+    std::vector<HostId> voters;
     LeaseTiming timing;
     // How often anything is asked for again.
     Duration retry_interval = std::chrono::milliseconds(100);
@@ -88,82 +88,84 @@
 
   // Any request of another host that its grantor took: a sign of its life.
   void OnPeerRequest(const LeaseRequest& request, TimePoint now) {
-    this->contacts.OnRequest(request.holder, request.incarnation,
-                             request.goodbye, now);
+    this->peer_liveness.OnRequest(request.holder, request.incarnation,
+                                  request.is_final, now);
   }
 
   // The host's peer port refused a connection begun at `attempted`: no process
   // of it runs. To be said of refusals only, never of silence.
-  void OnPeerRefused(const HostId& host, TimePoint attempted, TimePoint now) {
-    this->contacts.OnRefused(host, attempted, now);
+  void OnConnectionRefused(const HostId& host,
+                           TimePoint attempted,
+                           TimePoint now) {
+    this->peer_liveness.OnConnectionRefused(host, attempted, now);
   }
 
   void OnReply(const LeaseReply& reply, TimePoint now);
 
   // Hands everything over, then says goodbye; gone() once that is done.
   void Leave() { this->leaving = true; }
-  bool gone() const { return this->said_goodbye; }
+  bool has_left() const { return this->final_request_sent; }
 
   LeaseActions Tick(TimePoint now);
   TimePoint NextWake() const { return this->next_wake; }
 
   // For heartbeats: whether this host can be granted leases now.
   bool ReachesMajority(TimePoint now) const {
-    return this->contacts.ReachesMajority(now);
+    return this->peer_liveness.ReachesMajority(now);
   }
   // The targets that this host may use now, for heartbeats and status.
-  std::vector<TargetId> HeldTargets() const;
+  std::vector<TargetId> HeldTargetIds() const;
   // The same with what heartbeats say of them.
-  std::vector<HeldTarget> Holdings(TimePoint now) const;
+  std::vector<HeldTarget> HeldTargets(TimePoint now) const;
 
  private:
   struct Entry {
     TargetLease lease;
-    std::vector<HostId> order;
+    std::vector<HostId> preference_order;
     Duration work_time{};
     TargetShare share;
     TimePoint held_since{};
     // Attempts under a former or present share may run.
     bool may_have_work = false;
-    TimePoint next_ask{};
+    TimePoint next_request{};
     TimePoint next_renewal{};
     // Since when another host has been the preferred one.
-    TimePoint better_since = TimePoint::max();
+    TimePoint other_preferred_since = TimePoint::max();
     // Replies to earlier requests than this are of before a release.
-    uint64_t valid_from_sequence = 0;
+    uint64_t min_valid_sequence = 0;
     // A release waits to be sent.
-    bool given_back = false;
+    bool release_pending = false;
     // Its target is gone; it stays until nothing of it runs.
     bool removed = false;
   };
-  using Asks = std::map<HostId, std::vector<LeaseAsk>>;
+  using OperationsByHost = std::map<HostId, std::vector<LeaseOperation>>;
 
   Entry NewEntry(const LeaseTarget& target) const;
-  const HostId* Preferred(const Entry& entry) const;
-  uint32_t Draining() const;
+  const HostId* PreferredHost(const Entry& entry) const;
+  uint32_t DrainingCount() const;
   void Advance(const TargetId& target, Entry& entry, TimePoint now);
   void AdvanceIdle(const TargetId& target, Entry& entry, TimePoint now);
   void AdvanceHeld(const TargetId& target, Entry& entry, TimePoint now);
   void AdvanceDraining(const TargetId& target, Entry& entry, TimePoint now);
-  void AskVotes(const TargetId& target, const Entry& entry);
-  void AskParts(const TargetId& target, const Entry& entry);
-  void AskOwnPart(const TargetId& target, const Entry& entry);
-  void GiveBack(const TargetId& target, Entry& entry);
-  void KeepAlive(TimePoint now);
+  void RequestVotes(const TargetId& target, const Entry& entry);
+  void RequestSlotParts(const TargetId& target, const Entry& entry);
+  void RequestOwnPart(const TargetId& target, const Entry& entry);
+  void ReleaseGrants(const TargetId& target, Entry& entry);
+  void AddKeepAlives(TimePoint now);
   void UpdateShares(TimePoint now, LeaseActions& actions);
-  void Flush(TimePoint now, LeaseActions& actions);
+  void CreateMessages(TimePoint now, LeaseActions& actions);
 
   Options options;
-  ZoneContacts contacts;
+  PeerLiveness peer_liveness;
   std::map<TargetId, Entry> entries;
-  std::set<HostId> eligible;
+  std::set<HostId> eligible_hosts;
   bool leaving = false;
-  bool said_goodbye = false;
+  bool final_request_sent = false;
   uint64_t sequence = 0;
   // When each request was handed out that may still be answered.
-  std::map<uint64_t, TimePoint> sent;
-  Asks asks;
-  TimePoint next_round{};
+  std::map<uint64_t, TimePoint> sent_at;
+  OperationsByHost pending_operations;
+  TimePoint next_advance{};
   TimePoint next_keepalive{};
   TimePoint next_wake{};
 };
--- a/knapweedroad/admission/lease_holder_test.cc
+++ b/knapweedroad/admission/lease_holder_test.cc
@@ -17,18 +17,18 @@
 
 // The holder at host "a" of the zone {a, b} with the witness w, where every
 // request's answer is made by hand.
-struct Fixture {
+struct HolderFixture {
   LeaseHolder holder{{.self = kHostA,
                       .incarnation = 7,
                       .started = kStart - seconds(60),
                       .zone_hosts = {kHostA, kHostB},
-                      .electorate = {kHostA, kHostB, HostId("w")}}};
+                      .voters = {kHostA, kHostB, HostId("w")}}};
   TargetShare share;
 
-  Fixture() {
+  HolderFixture() {
     const LeaseTarget target{.target = kOnlyTarget, .slots = 2};
     for (const auto& message : this->Tick(kStart - milliseconds(500))) {
-      this->holder.OnReply(Granting(message), kStart - milliseconds(500));
+      this->holder.OnReply(GrantAllOf(message), kStart - milliseconds(500));
     }
     this->holder.SetTargets({&target, 1}, kStart);
     this->holder.SetEligibleHosts({&kHostA, 1}, kStart);
@@ -42,16 +42,17 @@
     return std::move(actions.messages);
   }
 
-  static LeaseReply Granting(const LeaseActions::Message& message,
-                             uint64_t incarnation = 7) {
+  static LeaseReply GrantAllOf(const LeaseActions::Message& message,
+                               uint64_t incarnation = 7) {
     LeaseReply reply{.grantor = message.to,
                      .incarnation = incarnation,
                      .sequence = message.request.sequence,
                      .grants = {}};
-    for (const LeaseAsk& ask : message.request.asks) {
-      if (!ask.release) {
-        reply.grants.push_back(
-            {.target = ask.target, .part = ask.part, .granted = true});
+    for (const LeaseOperation& operation : message.request.operations) {
+      if (!operation.release) {
+        reply.grants.push_back({.target = operation.target,
+                                .part = operation.part,
+                                .granted = true});
       }
     }
     return reply;
@@ -61,23 +62,25 @@
   void GrantAll(TimePoint now) {
     for (int round = 0; round < 4; ++round) {
       for (const auto& message : this->Tick(now)) {
-        this->holder.OnReply(Granting(message), now);
+        this->holder.OnReply(GrantAllOf(message), now);
       }
     }
     this->Tick(now);
   }
 };
 
-LeaseRequest From(const HostId& host, uint64_t incarnation, bool goodbye) {
+LeaseRequest PeerRequest(const HostId& host,
+                         uint64_t incarnation,
+                         bool is_final) {
   return {.holder = host,
           .incarnation = incarnation,
           .sequence = 1,
-          .goodbye = goodbye,
-          .asks = {}};
+          .is_final = is_final,
+          .operations = {}};
 }
 
 Test(LeaseHolder, HoldsAllSlotsWithAllGrants) {
-  Fixture fixture;
+  HolderFixture fixture;
   fixture.GrantAll(kStart);
   cr_assert_eq(fixture.share.slots, 2u);
 }
@@ -85,13 +88,14 @@
 // The grants were given when the requests came in, and the answers take a
 // second. Counted from the answers, the lease would outlast the grants.
 Test(LeaseHolder, CountsALeaseFromTheSendingOfTheRequest) {
-  Fixture fixture;
-  const auto asked = fixture.Tick(kStart);
-  for (const auto& message : asked) {
-    fixture.holder.OnReply(Fixture::Granting(message), kStart + seconds(1));
+  HolderFixture fixture;
+  const auto requests = fixture.Tick(kStart);
+  for (const auto& message : requests) {
+    fixture.holder.OnReply(HolderFixture::GrantAllOf(message),
+                           kStart + seconds(1));
   }
   for (const auto& message : fixture.Tick(kStart + seconds(1))) {
-    LeaseReply reply = Fixture::Granting(message);
+    LeaseReply reply = HolderFixture::GrantAllOf(message);
     std::erase_if(reply.grants, [](const LeaseGrant& grant) {
       return grant.part == LeasePart::kVote;
     });
@@ -105,10 +109,10 @@
 // The host restarts, and the answers to its former life's requests come in.
 // They bear the numbers of requests that it has just sent.
 Test(LeaseHolder, AnswersToAFormerLifeGrantNothing) {
-  Fixture fixture;
+  HolderFixture fixture;
   for (int round = 0; round < 4; ++round) {
     for (const auto& message : fixture.Tick(kStart)) {
-      fixture.holder.OnReply(Fixture::Granting(message, 6), kStart);
+      fixture.holder.OnReply(HolderFixture::GrantAllOf(message, 6), kStart);
     }
   }
   cr_assert_eq(fixture.share.slots, 0u);
@@ -119,28 +123,28 @@
 // Votes without a majority are given back. An answer that granted one of them
 // comes in after that, when its grantor may have given it to another host.
 Test(LeaseHolder, AGrantThatCrossesItsReleaseIsNone) {
-  Fixture fixture;
-  const auto asked = fixture.Tick(kStart);
+  HolderFixture fixture;
+  const auto requests = fixture.Tick(kStart);
   fixture.Tick(kStart + milliseconds(100));  // gives back
-  const auto again = fixture.Tick(kStart + milliseconds(500));
-  cr_assert(!again.empty());
-  for (const auto& message : asked) {
-    fixture.holder.OnReply(Fixture::Granting(message),
+  const auto retries = fixture.Tick(kStart + milliseconds(500));
+  cr_assert(!retries.empty());
+  for (const auto& message : requests) {
+    fixture.holder.OnReply(HolderFixture::GrantAllOf(message),
                            kStart + milliseconds(500));
   }
   for (const auto& message : fixture.Tick(kStart + milliseconds(500))) {
-    cr_assert(message.request.asks.empty(), "took them for a majority");
+    cr_assert(message.request.operations.empty(), "took them for a majority");
   }
 }
 
 // A goodbye of b's former life is delayed past b's restart and ours. Were it
 // believed, b's part of the slots would be taken while b may use it.
 Test(LeaseHolder, AGoodbyeOfAnUnknownIncarnationIsNotBelieved) {
-  Fixture fixture;
-  fixture.holder.OnPeerRequest(From(kHostB, 3, true), kStart);
+  HolderFixture fixture;
+  fixture.holder.OnPeerRequest(PeerRequest(kHostB, 3, true), kStart);
   for (int round = 0; round < 4; ++round) {
     for (const auto& message : fixture.Tick(kStart)) {
-      LeaseReply reply = Fixture::Granting(message);
+      LeaseReply reply = HolderFixture::GrantAllOf(message);
       std::erase_if(reply.grants, [&](const LeaseGrant& grant) {
         return message.to == kHostB && grant.part == LeasePart::kSlots;
       });
@@ -148,22 +152,22 @@
     }
   }
   cr_assert_eq(fixture.share.slots, 1u);
-  fixture.holder.OnPeerRequest(From(kHostB, 4, false), kStart);
-  fixture.holder.OnPeerRequest(From(kHostB, 4, true), kStart);
+  fixture.holder.OnPeerRequest(PeerRequest(kHostB, 4, false), kStart);
+  fixture.holder.OnPeerRequest(PeerRequest(kHostB, 4, true), kStart);
   fixture.Tick(kStart);
   cr_assert_eq(fixture.share.slots, 2u);
 }
 
 Test(LeaseHolder, ARefusalOlderThanTheLastSignOfLifeSaysNothing) {
-  Fixture fixture;
-  fixture.holder.OnPeerRequest(From(kHostB, 4, false), kStart);
-  fixture.holder.OnPeerRefused(kHostB, kStart - milliseconds(1), kStart);
+  HolderFixture fixture;
+  fixture.holder.OnPeerRequest(PeerRequest(kHostB, 4, false), kStart);
+  fixture.holder.OnConnectionRefused(kHostB, kStart - milliseconds(1), kStart);
   // Long after the longest work, in touch with a majority without b.
   for (int ms = 0; ms <= 13000; ms += 100) {
     const TimePoint now = kStart + milliseconds(ms);
     for (const auto& message : fixture.Tick(now)) {
       if (message.to != kHostB) {
-        fixture.holder.OnReply(Fixture::Granting(message), now);
+        fixture.holder.OnReply(HolderFixture::GrantAllOf(message), now);
       }
     }
   }
@@ -174,14 +178,14 @@
 // b used its own part alone, was stopped, and wakes up while that work still
 // runs. It lends the part to the holder, which has to let the work end first.
 Test(LeaseHolder, ABorrowedPartCountsOnceItsOwnersWorkHasEnded) {
-  Fixture fixture;
+  HolderFixture fixture;
   for (int round = 0; round < 4; ++round) {
     for (const auto& message : fixture.Tick(kStart)) {
-      LeaseReply reply = Fixture::Granting(message);
+      LeaseReply reply = HolderFixture::GrantAllOf(message);
       for (LeaseGrant& grant : reply.grants) {
-        const bool lent =
+        const bool is_part_of_b =
             message.to == kHostB && grant.part == LeasePart::kSlots;
-        grant.wait = lent ? seconds(1) : seconds(0);
+        grant.start_delay = is_part_of_b ? seconds(1) : seconds(0);
       }
       fixture.holder.OnReply(reply, kStart);
     }
@@ -195,12 +199,12 @@
 // restarted. "b" knew the former "a" for stopped and had work on its slots when
 // the new one greeted it: that work still runs.
 Test(LeaseHolder, ARestartedHostUsesItsPartOnlyAfterTheOthersWorkHasEnded) {
-  Fixture fixture;
+  HolderFixture fixture;
   for (int ms = 0; ms <= 12000; ms += 100) {
     const TimePoint now = kStart + milliseconds(ms);
     for (const auto& message : fixture.Tick(now)) {
       if (message.to == kHostA) {
-        fixture.holder.OnReply(Fixture::Granting(message), now);
+        fixture.holder.OnReply(HolderFixture::GrantAllOf(message), now);
       }
     }
     // Greeted half a second before the start; work runs for up to ten.
@@ -214,7 +218,7 @@
 // "a" reaches no majority and uses its own part. The holder, which does, can
 // reach "a" and asks for the part: "a" stops, and gives it back once drained.
 Test(LeaseHolder, AnIsolatedHostLendsItsPartWhenAsked) {
-  Fixture fixture;
+  HolderFixture fixture;
   bool wanted = false;
   bool released = false;
   for (int ms = 0; ms <= 13000; ms += 100) {
@@ -224,10 +228,10 @@
       if (message.to != kHostA) {
         continue;
       }
-      for (const LeaseAsk& ask : message.request.asks) {
-        released = released || (wanted && ask.release);
+      for (const LeaseOperation& operation : message.request.operations) {
+        released = released || (wanted && operation.release);
       }
-      LeaseReply reply = Fixture::Granting(message);
+      LeaseReply reply = HolderFixture::GrantAllOf(message);
       for (LeaseGrant& grant : reply.grants) {
         grant.wanted = wanted;
       }
@@ -242,17 +246,17 @@
 }
 
 Test(LeaseHolder, ARemovedTargetIsKeptUntilNothingRuns) {
-  Fixture fixture;
+  HolderFixture fixture;
   fixture.GrantAll(kStart);
   fixture.holder.SetTargets({}, kStart);
   fixture.Tick(kStart + milliseconds(100));
   cr_assert_eq(fixture.share.slots, 0u);
   const auto renewals = fixture.Tick(kStart + milliseconds(200));
   cr_assert(!renewals.empty());
-  cr_assert(!renewals.front().request.asks.front().release);
+  cr_assert(!renewals.front().request.operations.front().release);
   fixture.holder.OnDrained(kOnlyTarget);
   const auto releases = fixture.Tick(kStart + milliseconds(200));
-  cr_assert(releases.front().request.asks.front().release);
+  cr_assert(releases.front().request.operations.front().release);
 }
 
 }  // namespace
--- a/knapweedroad/admission/lease_reply.h
+++ b/knapweedroad/admission/lease_reply.h
@@ -18,14 +18,15 @@
   bool granted = false;
   // Work of an earlier holder may run for so long yet: nothing may be sent
   // under this grant before that.
-  Duration wait{};
+  Duration start_delay{};
   // Another host has asked for it in the meantime.
   bool wanted = false;
 
   // For cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(this->target, this->part, this->granted, this->wait, this->wanted);
+    archive(this->target, this->part, this->granted, this->start_delay,
+            this->wanted);
   }
 };
 
--- a/knapweedroad/admission/lease_request.h
+++ b/knapweedroad/admission/lease_request.h
@@ -20,7 +20,7 @@
 // by itself while it is cut off, and lends to the holder otherwise.
 enum class LeasePart : uint8_t { kVote, kSlots };
 
-struct LeaseAsk {
+struct LeaseOperation {
   TargetId target;
   LeasePart part = LeasePart::kVote;
   // Gives back instead of asking.
@@ -43,15 +43,15 @@
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
   // The host stops, holds nothing any more and has nothing running.
-  bool goodbye = false;
+  bool is_final = false;
   // May be empty: a request is also a sign of life that wants an answer.
-  std::vector<LeaseAsk> asks;
+  std::vector<LeaseOperation> operations;
 
   // For cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(this->holder, this->incarnation, this->sequence, this->goodbye,
-            this->asks);
+    archive(this->holder, this->incarnation, this->sequence, this->is_final,
+            this->operations);
   }
 };
 
--- a/knapweedroad/admission/lease_timing.h
+++ b/knapweedroad/admission/lease_timing.h
@@ -16,16 +16,16 @@
   // Two clocks gain on each other by at most one part in so many. Linux slews
   // by at most 1 in 2,000; a machine that is suspended as a whole, its clock
   // with it, is outside of this bound.
-  int clock_error_divisor = 200;
+  int clock_drift_divisor = 200;
 
   // How long the asker may count on a grant, by its clock.
-  Duration HolderLength() const {
-    return this->length - this->length / this->clock_error_divisor;
+  Duration HolderLeaseLength() const {
+    return this->length - this->length / this->clock_drift_divisor;
   }
 
   // A span of another host's clock, as long as it may seem by one's own.
-  Duration Stretched(Duration span) const {
-    return span + span / this->clock_error_divisor;
+  Duration LocalUpperBound(Duration span) const {
+    return span + span / this->clock_drift_divisor;
   }
 };
 
--- a/knapweedroad/admission/zone_contacts.h
+++ b/knapweedroad/admission/peer_liveness.h
@@ -4,8 +4,8 @@
 //   contacts.OnAnswered(host, sent, now);
 //   if (contacts.MayActIsolated(now)) ...
 
-#ifndef KNAPWEEDROAD_ADMISSION_ZONE_CONTACTS_H_
-#define KNAPWEEDROAD_ADMISSION_ZONE_CONTACTS_H_
+#ifndef KNAPWEEDROAD_ADMISSION_PEER_LIVENESS_H_
+#define KNAPWEEDROAD_ADMISSION_PEER_LIVENESS_H_
 
 #include <cstdint>
 #include <map>
@@ -16,69 +16,71 @@
 
 namespace knapweedroad {
 
-class ZoneContacts {
+class PeerLiveness {
  public:
   struct Options {
     HostId self;
     TimePoint started{};
     // All configured hosts of the zone, this one included.
     std::vector<HostId> zone_hosts;
-    std::vector<HostId> electorate;
+    std::vector<HostId> voters;
     LeaseTiming timing;
   };
 
-  explicit ZoneContacts(const Options& options) : options(options) {}
+  explicit PeerLiveness(const Options& options) : options(options) {}
 
   // The host answered a request of this incarnation that was sent at `sent`.
-  void OnAnswered(const HostId& host, TimePoint sent, TimePoint now);
+  void OnReply(const HostId& host, TimePoint sent_at, TimePoint now);
 
   // The host sent a request; `goodbye` with its last one.
   void OnRequest(const HostId& host,
                  uint64_t incarnation,
-                 bool goodbye,
+                 bool is_final,
                  TimePoint now);
 
   // The host refused a connection begun at `attempted`.
-  void OnRefused(const HostId& host, TimePoint attempted, TimePoint now);
+  void OnConnectionRefused(const HostId& host,
+                           TimePoint attempted,
+                           TimePoint now);
 
   // Whether a majority of the electorate answered what was sent within the
   // last lease length.
   bool ReachesMajority(TimePoint now) const;
 
   // The same without, and this host has run for long enough to tell.
-  bool Isolated(TimePoint now) const;
+  bool IsIsolated(TimePoint now) const;
 
   // Whether it is isolated, and no other host of the zone may be using its
   // part of any target's slots for having known its former life to be over.
-  bool MayActIsolated(TimePoint now) const;
+  bool MayUseOwnPart(TimePoint now) const;
 
   // From when on the host's parts are free because it is known not to run;
   // max() for never.
   TimePoint StoppedFrom(const HostId& host) const;
 
   // Whether the host ever answered this incarnation.
-  bool HasAnswered(const HostId& host) const {
-    return this->greeted.contains(host);
+  bool HasReplied(const HostId& host) const {
+    return this->first_reply_at.contains(host);
   }
 
  private:
-  struct Heard {
+  struct LastRequest {
     uint64_t incarnation = 0;
-    TimePoint at{};
+    TimePoint received_at{};
   };
 
-  Duration LongestWork() const;
+  Duration MaxWorkTime() const;
 
   Options options;
   // The send time of the latest answered request.
-  std::map<HostId, TimePoint> answered;
+  std::map<HostId, TimePoint> answered_request_sent_at;
   // When a host first answered this incarnation: from then on it no longer
   // takes this host for stopped.
-  std::map<HostId, TimePoint> greeted;
-  std::map<HostId, Heard> heard;
-  std::map<HostId, TimePoint> stopped;
+  std::map<HostId, TimePoint> first_reply_at;
+  std::map<HostId, LastRequest> last_requests;
+  std::map<HostId, TimePoint> stopped_from;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_ADMISSION_ZONE_CONTACTS_H_
+#endif  // KNAPWEEDROAD_ADMISSION_PEER_LIVENESS_H_
--- a/knapweedroad/admission/rendezvous.cc
+++ b/knapweedroad/admission/rendezvous.cc
@@ -17,36 +17,36 @@
 }
 
 // The first host by name of the next zone by name, after the last the first.
-const PeerSettings* Witness(const ZoneId& zone,
-                            std::span<const PeerSettings> hosts) {
-  const auto place = [&](const PeerSettings& peer) {
+const PeerSettings* FindWitness(const ZoneId& zone,
+                                std::span<const PeerSettings> hosts) {
+  const auto sort_key = [&](const PeerSettings& peer) {
     return std::tuple(peer.zone < zone, peer.zone, peer.name);
   };
-  const PeerSettings* best = nullptr;
+  const PeerSettings* first = nullptr;
   for (const PeerSettings& peer : hosts) {
     if (peer.zone == zone) {
       continue;
     }
-    if (best == nullptr || place(peer) < place(*best)) {
-      best = &peer;
+    if (first == nullptr || sort_key(peer) < sort_key(*first)) {
+      first = &peer;
     }
   }
-  return best;
+  return first;
 }
 
 }  // namespace
 
 std::vector<HostId> RendezvousOrder(const TargetId& target,
                                     std::span<const HostId> hosts) {
-  std::vector<std::pair<uint64_t, HostId>> scored;
-  scored.reserve(hosts.size());
+  std::vector<std::pair<uint64_t, HostId>> scored_hosts;
+  scored_hosts.reserve(hosts.size());
   for (const HostId& host : hosts) {
-    scored.emplace_back(Score(target, host), host);
+    scored_hosts.emplace_back(Score(target, host), host);
   }
-  std::sort(scored.begin(), scored.end(), std::greater<>());
+  std::sort(scored_hosts.begin(), scored_hosts.end(), std::greater<>());
   std::vector<HostId> order;
-  order.reserve(scored.size());
-  for (auto& [score, host] : scored) {
+  order.reserve(scored_hosts.size());
+  for (auto& [score, host] : scored_hosts) {
     order.push_back(std::move(host));
   }
   return order;
@@ -64,11 +64,11 @@
   return names;
 }
 
-std::vector<HostId> LeaseElectorate(const ZoneId& zone,
-                                    std::span<const PeerSettings> hosts) {
+std::vector<HostId> LeaseVoters(const ZoneId& zone,
+                                std::span<const PeerSettings> hosts) {
   std::vector<HostId> voters = HostsOfZone(zone, hosts);
   voters.resize(std::min(voters.size(), kMaxZoneVoters));
-  const PeerSettings* witness = Witness(zone, hosts);
+  const PeerSettings* witness = FindWitness(zone, hosts);
   if (voters.size() % 2 == 0 && witness != nullptr) {
     voters.push_back(witness->name);
   }
--- a/knapweedroad/admission/rendezvous.h
+++ b/knapweedroad/admission/rendezvous.h
@@ -31,8 +31,8 @@
 // name and, where that number is even, one witness of another zone, so that
 // two hosts of a zone that lose each other can still be told apart. The same
 // on every host as long as their settings are.
-std::vector<HostId> LeaseElectorate(const ZoneId& zone,
-                                    std::span<const PeerSettings> hosts);
+std::vector<HostId> LeaseVoters(const ZoneId& zone,
+                                std::span<const PeerSettings> hosts);
 
 }  // namespace knapweedroad
 
--- a/knapweedroad/admission/rendezvous_test.cc
+++ b/knapweedroad/admission/rendezvous_test.cc
@@ -23,13 +23,13 @@
 }
 
 Test(Rendezvous, TheElectorateIsOddWhereAnotherZoneCanHelp) {
-  cr_assert_eq(LeaseElectorate(ZoneId("a"), Hosts(1, 2)).size(), 1u);
-  const auto two = LeaseElectorate(ZoneId("a"), Hosts(2, 3));
+  cr_assert_eq(LeaseVoters(ZoneId("a"), Hosts(1, 2)).size(), 1u);
+  const auto two = LeaseVoters(ZoneId("a"), Hosts(2, 3));
   cr_assert_eq(two.size(), 3u);
   cr_assert_eq(two.back().str(), "b2");
-  cr_assert_eq(LeaseElectorate(ZoneId("b"), Hosts(2, 3)).size(), 3u);
-  cr_assert_eq(LeaseElectorate(ZoneId("a"), Hosts(9, 3)).size(), 5u);
-  cr_assert_eq(LeaseElectorate(ZoneId("a"), Hosts(2, 0)).size(), 2u);
+  cr_assert_eq(LeaseVoters(ZoneId("b"), Hosts(2, 3)).size(), 3u);
+  cr_assert_eq(LeaseVoters(ZoneId("a"), Hosts(9, 3)).size(), 5u);
+  cr_assert_eq(LeaseVoters(ZoneId("a"), Hosts(2, 0)).size(), 2u);
 }
 
 Test(Rendezvous, LosingAHostMovesOnlyItsTargets) {
--- a/knapweedroad/admission/target_admission.cc
+++ b/knapweedroad/admission/target_admission.cc
@@ -55,7 +55,7 @@
     return this->ProcessQueue(now, std::move(actions));
   }
   if (!free_slot && !this->FitsBeforeDeadline(request, now)) {
-    const bool over_share = this->queue.OverShare(request.tenant);
+    const bool over_share = this->queue.IsOverShare(request.tenant);
     kind = over_share ? RefusalKind::kOverShare : RefusalKind::kOverloaded;
     this->Refuse(request, kind, this->RetryAfter(request, now), actions);
     return this->ProcessQueue(now, std::move(actions));
--- a/knapweedroad/admission/target_lease.cc
+++ b/knapweedroad/admission/target_lease.cc
@@ -27,8 +27,9 @@
   if (!grant.granted) {
     return;
   }
-  const GrantPeriod period{.valid_until = sent_at + timing.HolderLength(),
-                           .usable_from = now + timing.Stretched(grant.wait)};
+  const GrantPeriod period{
+      .valid_until = sent_at + timing.HolderLeaseLength(),
+      .usable_from = now + timing.LocalUpperBound(grant.start_delay)};
   if (grant.part == LeasePart::kVote) {
     this->votes[grantor] = period;
     return;
--- a/knapweedroad/admission/target_lease.h
+++ b/knapweedroad/admission/target_lease.h
@@ -1,5 +1,5 @@
 // The grants that one host holds for one target: votes of the hosts in the
-// electorate (`LeaseElectorate()`), and parts of the target's slots lent by the
+// electorate (`LeaseVoters()`), and parts of the target's slots lent by the
 // hosts that own them. Each grant has a time from which it may be used and a
 // time at which it expires.
 //
@@ -53,8 +53,8 @@
   explicit TargetLease(const Options& options) : options(options) {}
 
   // Records a grant from `grantor`. `sent_at` is the time at which the request
-  // for it was sent; the grant expires `timing.HolderLength()` after that. A
-  // reply that denies the grant has no effect.
+  // for it was sent; the grant expires `timing.HolderLeaseLength()` after that.
+  // A reply that denies the grant has no effect.
   void OnGrant(const HostId& grantor,
                const LeaseGrant& grant,
                TimePoint sent_at,
--- a/knapweedroad/admission/zone_leases.cc
+++ b/knapweedroad/admission/zone_leases.cc
@@ -19,7 +19,7 @@
           .incarnation = options.incarnation,
           .started = options.started,
           .zone_hosts = HostsOfZone(options.zone, options.hosts),
-          .electorate = LeaseElectorate(options.zone, options.hosts),
+          .voters = LeaseVoters(options.zone, options.hosts),
           .timing = options.timing,
           .retry_interval = options.retry_interval,
           .handover_delay = options.handover_delay,
@@ -40,10 +40,10 @@
   this->holder.OnDrained(target);
 }
 
-void ZoneLeases::OnPeerRefused(const HostId& host,
-                               TimePoint attempted,
-                               TimePoint now) {
-  this->holder.OnPeerRefused(host, attempted, now);
+void ZoneLeases::OnConnectionRefused(const HostId& host,
+                                     TimePoint attempted,
+                                     TimePoint now) {
+  this->holder.OnConnectionRefused(host, attempted, now);
 }
 
 void ZoneLeases::Leave() {
@@ -58,7 +58,7 @@
     return actions;
   }
   this->holder.OnPeerRequest(request, now);
-  this->Settle(now, actions);
+  this->AdvanceHolder(now, actions);
   actions.replies.push_back({.to = request.holder, .reply = *std::move(reply)});
   return actions;
 }
@@ -67,33 +67,33 @@
                                         TimePoint now) {
   Actions actions;
   this->holder.OnReply(reply, now);
-  this->Settle(now, actions);
+  this->AdvanceHolder(now, actions);
   return actions;
 }
 
 ZoneLeases::Actions ZoneLeases::Tick(TimePoint now) {
   Actions actions;
-  this->Settle(now, actions);
+  this->AdvanceHolder(now, actions);
   return actions;
 }
 
 // Requests to this host itself are answered on the spot.
-void ZoneLeases::Settle(TimePoint now, Actions& actions) {
-  bool again = true;
-  while (again) {
-    again = false;
-    LeaseActions step = this->holder.Tick(now);
-    for (auto& change : step.shares) {
+void ZoneLeases::AdvanceHolder(TimePoint now, Actions& actions) {
+  bool self_replied = true;
+  while (self_replied) {
+    self_replied = false;
+    LeaseActions holder_actions = this->holder.Tick(now);
+    for (auto& change : holder_actions.shares) {
       actions.shares.push_back(std::move(change));
     }
-    for (auto& message : step.messages) {
+    for (auto& message : holder_actions.messages) {
       if (message.to != this->self) {
         actions.requests.push_back(std::move(message));
         continue;
       }
       if (auto reply = this->grantor.OnRequest(message.request, now)) {
         this->holder.OnReply(*reply, now);
-        again = true;
+        self_replied = true;
       }
     }
   }
--- a/knapweedroad/admission/zone_leases.h
+++ b/knapweedroad/admission/zone_leases.h
@@ -61,9 +61,11 @@
   void SetTargets(std::span<const LeaseTarget> targets, TimePoint now);
   void SetEligibleHosts(std::span<const HostId> hosts, TimePoint now);
   void OnDrained(const TargetId& target);
-  void OnPeerRefused(const HostId& host, TimePoint attempted, TimePoint now);
+  void OnConnectionRefused(const HostId& host,
+                           TimePoint attempted,
+                           TimePoint now);
   void Leave();
-  bool gone() const { return this->holder.gone(); }
+  bool has_left() const { return this->holder.has_left(); }
 
   // From other hosts. This host must listen for requests before it sends any.
   Actions OnRequest(const LeaseRequest& request, TimePoint now);
@@ -76,16 +78,16 @@
   bool ReachesMajority(TimePoint now) const {
     return this->holder.ReachesMajority(now);
   }
-  std::vector<TargetId> HeldTargets() const {
-    return this->holder.HeldTargets();
+  std::vector<TargetId> HeldTargetIds() const {
+    return this->holder.HeldTargetIds();
   }
-  std::vector<HeldTarget> Holdings(TimePoint now) const {
-    return this->holder.Holdings(now);
+  std::vector<HeldTarget> HeldTargets(TimePoint now) const {
+    return this->holder.HeldTargets(now);
   }
 
  private:
   static LeaseHolder::Options HolderOptions(const Options& options);
-  void Settle(TimePoint now, Actions& actions);
+  void AdvanceHolder(TimePoint now, Actions& actions);
 
   HostId self;
   LeaseGrantor grantor;
--- a/knapweedroad/host/lease_service.cc
+++ b/knapweedroad/host/lease_service.cc
@@ -42,7 +42,7 @@
       [this](std::string_view body) { this->Hear(body); });
   this->options.links.OnRefused(
       [this](const HostId& host, TimePoint attempted) {
-        this->leases.OnPeerRefused(host, attempted, Runtime::Now());
+        this->leases.OnConnectionRefused(host, attempted, Runtime::Now());
       });
   this->runtime.Spawn([this] { this->Loop(); });
 }
@@ -54,7 +54,7 @@
   }
   const TimePoint now = Runtime::Now();
   if (const auto* request = std::get_if<LeaseRequest>(&*message)) {
-    if (request->goodbye) {
+    if (request->is_final) {
       this->options.view.OnGoodbye(request->holder, request->incarnation);
     }
     this->Perform(this->leases.OnRequest(*request, now));
@@ -92,7 +92,7 @@
 }
 
 void LeaseService::Loop() {
-  while (!this->leases.gone()) {
+  while (!this->leases.has_left()) {
     this->Tick(Runtime::Now());
     Runtime::SleepFor(kTickInterval);
   }
@@ -101,10 +101,10 @@
 void LeaseService::Leave(TimePoint deadline) {
   this->is_leaving = true;
   this->leases.Leave();
-  while (!this->leases.gone() && Runtime::Now() < deadline) {
+  while (!this->leases.has_left() && Runtime::Now() < deadline) {
     Runtime::SleepFor(kTickInterval);
   }
-  LogLine("leases_left").Add("handed_over", this->leases.gone()).Info();
+  LogLine("leases_left").Add("handed_over", this->leases.has_left()).Info();
 }
 
 bool LeaseService::CanHold(TimePoint now) const {
