--- a/knapweedroad/admission/fair_queue.cc
+++ b/knapweedroad/admission/fair_queue.cc
@@ -7,7 +7,7 @@
 namespace knapweedroad {
 namespace {
 
-// Virtual time of one attempt at weight 1.
+// The virtual time by which one attempt advances a flow of weight 1.
 constexpr uint64_t kVirtualTimeUnit = uint64_t{1} << 24;
 
 uint64_t VirtualTimeCost(uint32_t weight) {
@@ -84,8 +84,9 @@
   return request;
 }
 
-// Tenants and classes come and go; only those with work, or with a debt, are
-// kept.
+// Removes flows without waiting attempts, so that tenants and classes that are
+// no longer in use take no memory. A flow whose virtual time is ahead of the
+// clock is kept, so that the attempts already served for it count.
 void FairQueue::RemoveIdle(TenantFlow& served) {
   std::erase_if(served.classes, [&](const auto& entry) {
     return entry.second.attempts.empty() &&
@@ -143,20 +144,21 @@
   if (tenant == this->tenants.end() || tenant->second.waiting == 0) {
     return this->ExpectedPosition(1, weight, total_weight);
   }
-  const TenantFlow& own = tenant->second;
+  const TenantFlow& tenant_flow = tenant->second;
   uint64_t class_weights = 0;
-  for (const auto& [name, flow] : own.classes) {
+  for (const auto& [name, flow] : tenant_flow.classes) {
     class_weights += flow.attempts.empty() ? 0 : flow.weight;
   }
   const uint32_t class_weight = std::max<uint32_t>(request.class_weight, 1);
-  const auto flow = own.classes.find(request.request_class);
+  const auto flow = tenant_flow.classes.find(request.request_class);
   uint64_t ahead = 1;
-  if (flow != own.classes.end() && !flow->second.attempts.empty()) {
+  if (flow != tenant_flow.classes.end() && !flow->second.attempts.empty()) {
     const auto& attempts = flow->second.attempts;
     ahead = static_cast<uint64_t>(std::distance(
         attempts.begin(), attempts.upper_bound(request.deadline)));
   }
-  ahead = std::min<uint64_t>(ahead * class_weights / class_weight, own.waiting);
+  ahead = std::min<uint64_t>(ahead * class_weights / class_weight,
+                             tenant_flow.waiting);
   return this->ExpectedPosition(ahead, weight, total_weight);
 }
 
@@ -165,9 +167,9 @@
   if (found == this->tenants.end()) {
     return false;
   }
-  const TenantFlow& own = found->second;
-  return uint64_t{own.waiting} * this->BackloggedWeight() >
-         uint64_t{this->waiting} * own.weight;
+  const TenantFlow& tenant_flow = found->second;
+  return uint64_t{tenant_flow.waiting} * this->BackloggedWeight() >
+         uint64_t{this->waiting} * tenant_flow.weight;
 }
 
 void FairQueue::ForEach(const Visitor& visitor) const {
--- a/knapweedroad/admission/fair_queue.h
+++ b/knapweedroad/admission/fair_queue.h
@@ -1,13 +1,15 @@
-// Attempts that wait for a slot, in weighted fair order: across tenants, then
-// across the classes of a tenant, the earliest deadline first inside a class.
+// Queues attempts that wait for a slot in weighted fair order: across tenants,
+// then across the request classes of a tenant, and by earliest deadline within
+// a class.
 //
 //   FairQueue queue;
 //   queue.Push(request);
 //   std::optional<AdmissionRequest> next = queue.Pop();
 //
 // Each tenant, and each class in it, has a virtual time that advances by
-// 1/weight with each attempt served; the one that is behind goes next. One that
-// comes back from idleness starts at the present, so that it can't save up.
+// 1/weight with each attempt served. The one with the least virtual time is
+// served next. One that was idle resumes at the current virtual time, so that
+// it gains no credit while idle.
 
 #ifndef KNAPWEEDROAD_ADMISSION_FAIR_QUEUE_H_
 #define KNAPWEEDROAD_ADMISSION_FAIR_QUEUE_H_
@@ -26,32 +28,40 @@
 
 class FairQueue {
  public:
+  // Adds an attempt. Its tenant and class take the weights of this request; a
+  // weight of zero counts as one.
   void Push(AdmissionRequest request);
 
-  // The next one in order, removed and charged to its tenant and class.
+  // Removes and returns the next attempt, and advances the virtual times of its
+  // tenant and class. Returns nullopt if the queue is empty.
   std::optional<AdmissionRequest> Pop();
 
-  // Takes out the attempt of that name, if it waits.
+  // Removes and returns the attempt with that id; nullopt if it isn't queued.
   std::optional<AdmissionRequest> Remove(std::string_view attempt);
 
+  // Returns whether the attempt with that id is queued.
   bool Contains(std::string_view attempt) const;
 
-  // How many waiting attempts are expected to be served before `request` if it
-  // were pushed now.
+  // Returns how many waiting attempts are expected to be served before
+  // `request` if it were pushed now.
   uint32_t PositionOf(const AdmissionRequest& request) const;
 
-  // Whether the tenant has more waiting, for its weight, than the average.
+  // Returns whether the tenant has more attempts waiting per weight than all
+  // tenants with waiting attempts have on average.
   bool IsOverShare(const TenantId& tenant) const;
 
-  // Visits each waiting attempt with the number expected to be served first.
+  // Calls `visitor` with each waiting attempt and the number of attempts that
+  // are expected to be served before it.
   using Visitor = std::function<void(const AdmissionRequest&, uint32_t)>;
   void ForEach(const Visitor& visitor) const;
 
-  // Takes out the latest deadline of the tenant that has most waiting for its
-  // weight: the one to give up when the queue is full.
+  // Removes and returns the attempt to reject when the queue is full: of the
+  // tenant with the most attempts waiting per weight, and of its class with the
+  // most per weight, the one with the latest deadline. Returns nullopt if the
+  // queue is empty.
   std::optional<AdmissionRequest> EvictMostOverShare();
 
-  // Takes out all, in no particular order.
+  // Removes and returns all attempts, in no particular order.
   std::vector<AdmissionRequest> Clear();
 
   uint32_t size() const { return this->waiting; }
@@ -67,7 +77,7 @@
     uint64_t virtual_time = 0;
     uint32_t weight = 1;
     uint32_t waiting = 0;
-    // The virtual time of the class served last.
+    // The virtual time of the class served last, before it was served.
     uint64_t class_virtual_clock = 0;
     std::map<std::string, ClassFlow, std::less<>> classes;
   };
@@ -81,7 +91,7 @@
                             uint64_t total_weight) const;
 
   uint32_t waiting = 0;
-  // The virtual time of the tenant served last.
+  // The virtual time of the tenant served last, before it was served.
   uint64_t virtual_clock = 0;
   std::map<TenantId, TenantFlow> tenants;
 };
--- a/knapweedroad/admission/fair_queue_test.cc
+++ b/knapweedroad/admission/fair_queue_test.cc
@@ -35,17 +35,17 @@
   cr_assert_eq(served["b"], 10);
 }
 
-Test(FairQueue, ServesTheEarliestDeadlineOfAClassFirst) {
+Test(FairQueue, ServesEarliestDeadlineOfClassFirst) {
   FairQueue queue;
   queue.Push(Request("late", "a", 1, 200));
   queue.Push(Request("early", "a", 1, 50));
   cr_assert_eq(queue.Pop()->attempt, "early");
 }
 
-// A tenant that asked for nothing during an hour floods the target. Had it
-// kept its virtual time of an hour ago, it would be served alone until it had
-// caught up, and the others would miss their deadlines.
-Test(FairQueue, IdlenessSavesNothingUp) {
+// A tenant sends many requests after an hour without any. If it resumed at its
+// virtual time of an hour ago, only its requests would be served until it
+// caught up, and those of other tenants would miss their deadlines.
+Test(FairQueue, IdleTenantGainsNoCredit) {
   FairQueue queue;
   for (int i = 0; i < 100; ++i) {
     queue.Push(Request("a" + std::to_string(i), "a", 1));
@@ -62,7 +62,7 @@
   cr_assert_eq(of_b, 5);
 }
 
-Test(FairQueue, EvictsFromTheTenantWithMostWaitingForItsWeight) {
+Test(FairQueue, EvictsFromTenantWithMostWaitingPerWeight) {
   FairQueue queue;
   for (int i = 0; i < 6; ++i) {
     queue.Push(Request("a" + std::to_string(i), "a", 4));
@@ -73,12 +73,12 @@
   cr_assert_eq(queue.size(), 7u);
 }
 
-Test(FairQueue, ExpectsALightTenantBehindItsShareOfTheOthers) {
+Test(FairQueue, ExpectedPositionFollowsTenantShare) {
   FairQueue queue;
   for (int i = 0; i < 20; ++i) {
     queue.Push(Request("a" + std::to_string(i), "a", 1));
   }
-  // Alone in its flow it is served after one of the other tenant's.
+  // The only attempt of its tenant; served after one of the other tenant's.
   cr_assert_eq(queue.PositionOf(Request("b", "b", 1)), 1u);
   cr_assert_eq(queue.PositionOf(Request("a", "a", 1)), 20u);
 }
--- a/knapweedroad/admission/lease_grantor.cc
+++ b/knapweedroad/admission/lease_grantor.cc
@@ -6,7 +6,8 @@
 namespace knapweedroad {
 namespace {
 
-// No message is delayed for longer and then delivered.
+// How long the order of a host's latest request is kept. No message is delayed
+// for longer than this and then delivered.
 constexpr Duration kRequesterRetention = std::chrono::minutes(2);
 
 }  // namespace
@@ -39,9 +40,10 @@
   return reply;
 }
 
-// A release that was delayed until its sender holds the lease again would free
-// what is in use; an ask delayed past a release only blocks others for a while.
-// Both are passed over.
+// Returns whether this request or a later one of the same host was received
+// before; records the order of `request` otherwise. A delayed release would
+// free a grant that its sender has requested again and uses. A request delayed
+// past a release would only keep the grant from other hosts until it expires.
 bool LeaseGrantor::IsOutOfOrder(const LeaseRequest& request, TimePoint now) {
   Requester& requester = this->requesters[request.holder];
   const auto order = std::pair(request.incarnation, request.sequence);
@@ -61,8 +63,8 @@
       .first->second;
 }
 
-// What earlier holders left running stays on record: the one that gives back
-// speaks for its own work only.
+// Attempts of earlier holders stay recorded: a release covers only the attempts
+// of the host that sends it.
 void LeaseGrantor::Release(const LeaseRequest& request,
                            const LeaseOperation& operation,
                            TimePoint now) {
@@ -103,7 +105,8 @@
   return result;
 }
 
-// Whether the grant is, or becomes, the asker's.
+// Returns whether the requester has the grant, or gets it because no other host
+// has it.
 bool LeaseGrantor::TryAssign(Grant& grant,
                              const LeaseRequest& request,
                              TimePoint now) {
@@ -121,10 +124,12 @@
   return true;
 }
 
-// Where a holder lost a grant without giving it back, its work is counted on
-// for its longest time.
+// Ends a grant that its holder didn't release, if that is possible by now, and
+// returns whether it ended. Attempts of that holder are then assumed to run for
+// their longest time.
 bool LeaseGrantor::TryEndGrant(Grant& grant, bool same_host, TimePoint now) {
-  // The host's former life sent nothing after its end, which is past by now.
+  // The former incarnation of the same host has ended by now and sent nothing
+  // after that.
   const TimePoint end = same_host ? std::min(now, grant.expiry) : grant.expiry;
   if (now < end) {
     return false;
@@ -134,7 +139,8 @@
   return true;
 }
 
-// A grant without a trace in the present is forgotten, as one never given.
+// Removes grants that have ended and under which no attempt can be running:
+// they have no effect on any later request.
 void LeaseGrantor::RemoveExpired(TimePoint now) {
   std::erase_if(this->requesters, [&](const auto& entry) {
     return now - entry.second.received_at > kRequesterRetention;
--- a/knapweedroad/admission/lease_grantor_test.cc
+++ b/knapweedroad/admission/lease_grantor_test.cc
@@ -26,7 +26,7 @@
           .operations = {operation}};
 }
 
-// One that has been up for long enough to remember all that matters.
+// Returns a grantor that started long enough ago to grant leases at `kStart`.
 LeaseGrantor GrantorAfterStartDelay() {
   return LeaseGrantor({.self = HostId("g"), .started = kStart - seconds(60)});
 }
@@ -43,9 +43,9 @@
   cr_assert(!OnlyGrant(grantor.OnRequest(Request(kHostB, 1), later)).granted);
 }
 
-// A holder dies. The next one is granted the target as the lease runs out, but
-// the target is still at what the dead holder sent in its last moment.
-Test(LeaseGrantor, AfterAnExpiryTheNextWaitsForUnfinishedWork) {
+// A holder crashes, and its lease expires. The target may still be running an
+// attempt that the holder sent just before the expiry.
+Test(LeaseGrantor, NextHolderWaitsForUnfinishedWorkAfterExpiry) {
   LeaseGrantor grantor = GrantorAfterStartDelay();
   grantor.OnRequest(Request(kHostA, 1), kStart);
   const LeaseGrant grant =
@@ -54,7 +54,7 @@
   cr_assert(grant.start_delay >= seconds(3));
 }
 
-Test(LeaseGrantor, AfterACleanReleaseTheNextNeedNotWait) {
+Test(LeaseGrantor, NextHolderStartsAtOnceAfterRelease) {
   LeaseGrantor grantor = GrantorAfterStartDelay();
   grantor.OnRequest(Request(kHostA, 1), kStart);
   grantor.OnRequest(Request(kHostA, 2, true), kStart);
@@ -64,9 +64,10 @@
   cr_assert(grant.start_delay == Duration::zero());
 }
 
-// A dies at work. B is granted the vote, gets no majority and gives it back.
-// C must still wait for A's work: B speaks for its own only.
-Test(LeaseGrantor, AReleaseDoesNotForgetWorkOfAnEarlierHolder) {
+// A crashes with attempts running. B gets the vote but no majority, and
+// releases the vote. C must still wait for A's attempts, since B's release
+// covers only its own.
+Test(LeaseGrantor, ReleaseKeepsRecordOfEarlierHoldersWork) {
   LeaseGrantor grantor = GrantorAfterStartDelay();
   grantor.OnRequest(Request(kHostA, 1), kStart);
   grantor.OnRequest(Request(kHostB, 1), kStart + seconds(2));
@@ -76,9 +77,9 @@
   cr_assert(grant.start_delay >= seconds(3));
 }
 
-// A grantor restarts and has forgotten that A holds the target. Were it to
-// grant it to B at once, both would send.
-Test(LeaseGrantor, GrantsNothingForALeaseLengthAfterItsStart) {
+// A grantor restarts and loses the record that A holds the target. If it
+// granted the target to B at once, both would send.
+Test(LeaseGrantor, GrantsNothingForOneLeaseLengthAfterStart) {
   LeaseGrantor grantor({.self = HostId("g"), .started = kStart});
   cr_assert(
       !OnlyGrant(grantor.OnRequest(Request(kHostB, 1), kStart + seconds(2)))
@@ -86,12 +87,12 @@
   const LeaseGrant grant = OnlyGrant(
       grantor.OnRequest(Request(kHostB, 2), kStart + milliseconds(2011)));
   cr_assert(grant.granted);
-  cr_assert(grant.start_delay >= seconds(9), "A's work may run on");
+  cr_assert(grant.start_delay >= seconds(9), "A's attempts may still run");
 }
 
-// A gives back, takes again, and holds. The release, delayed on the way, comes
-// in now: it must not free what is in use.
-Test(LeaseGrantor, ADelayedReleaseFreesNothing) {
+// A releases its grant and requests it again. The release is delayed and
+// arrives last; it must not free a grant that is in use.
+Test(LeaseGrantor, IgnoresDelayedRelease) {
   LeaseGrantor grantor = GrantorAfterStartDelay();
   grantor.OnRequest(Request(kHostA, 1), kStart);
   grantor.OnRequest(Request(kHostA, 3), kStart);
@@ -99,7 +100,7 @@
   cr_assert(!OnlyGrant(grantor.OnRequest(Request(kHostB, 1), kStart)).granted);
 }
 
-Test(LeaseGrantor, ARestartedHolderWaitsForItsOwnFormerWork) {
+Test(LeaseGrantor, RestartedHolderWaitsForItsFormerWork) {
   LeaseGrantor grantor = GrantorAfterStartDelay();
   grantor.OnRequest(Request(kHostA, 9), kStart);
   const LeaseGrant grant = OnlyGrant(grantor.OnRequest(
--- a/knapweedroad/admission/lease_holder.cc
+++ b/knapweedroad/admission/lease_holder.cc
@@ -9,8 +9,8 @@
 namespace knapweedroad {
 namespace {
 
-// Leases are renewed this often within their length, so that two lost messages
-// in a row cost nothing.
+// The number of renewals per lease length. A lease survives two lost messages
+// in a row.
 constexpr int kRenewalsPerLease = 3;
 
 }  // namespace
@@ -75,8 +75,8 @@
   }
 }
 
-// A reply of an earlier life of this host would count a lease from the wrong
-// moment: sequences start anew with each incarnation.
+// A reply to a former incarnation of this host is ignored: sequences restart
+// with each incarnation, so the lease would count from the wrong time.
 void LeaseHolder::OnReply(const LeaseReply& reply, TimePoint now) {
   const auto request = this->sent_at.find(reply.sequence);
   if (reply.incarnation != this->options.incarnation ||
@@ -167,7 +167,8 @@
       this->AdvanceIdle(target, entry, now);
       break;
     case LeasePhase::kRequesting:
-      // Votes without a majority would keep another host from getting one.
+      // There is no majority yet. Votes that are kept would prevent another
+      // host from getting one.
       this->ReleaseGrants(target, entry);
       entry.next_request =
           now + this->options.retry_interval * (1 + lease.OwnRank());
@@ -235,7 +236,7 @@
   }
 }
 
-// Keeps what it has until its last attempt has ended: nobody else may send
+// Renews its grants until the last attempt has ended: no other host may send
 // before that.
 void LeaseHolder::AdvanceDraining(const TargetId& target,
                                   Entry& entry,
@@ -280,8 +281,9 @@
        .work_time = entry.work_time});
 }
 
-// Gives all of it back. It is said along how long work under it may run, as a
-// host that lost its majority may still have work of before.
+// Releases all grants of the target. The release includes how long attempts may
+// still run, since a host that lost its majority may have attempts running that
+// it sent before.
 void LeaseHolder::ReleaseGrants(const TargetId& target, Entry& entry) {
   const Duration work_time =
       entry.may_have_work ? entry.work_time : Duration::zero();
@@ -304,8 +306,8 @@
   entry.release_pending = true;
 }
 
-// Asks every voter for a sign of life, and every host of the zone that has not
-// yet answered this incarnation.
+// Adds a request, if only an empty one, to every voter and to every host of the
+// zone that hasn't replied to this incarnation yet.
 void LeaseHolder::AddKeepAlives(TimePoint now) {
   if (now < this->next_keepalive) {
     return;
@@ -376,8 +378,8 @@
                      .operations = std::move(operations)}});
   }
   this->pending_operations.clear();
-  // A grant that crosses its own release on the way is none: its grantor has
-  // given the target on by then, perhaps.
+  // Grants that were requested before a release are ignored: by the time the
+  // reply arrives, the grantor may have assigned the grant to another host.
   for (auto& [target, entry] : this->entries) {
     if (entry.release_pending) {
       entry.release_pending = false;
--- a/knapweedroad/admission/lease_holder.h
+++ b/knapweedroad/admission/lease_holder.h
@@ -1,12 +1,14 @@
-// One host's part in holding the leases of its zone's targets: asks for those
-// it is the preferred host of, renews, hands over, and uses its own part of
-// the slots while it is cut off.
+// Holds leases on the targets of one host's zone. It requests the leases of the
+// targets for which this host is the preferred one, renews them, and hands them
+// over when another host becomes the preferred one. While this host is isolated
+// (it doesn't reach a majority of the voters), it uses only the part of the
+// slots that it owns.
 //
-//   LeaseHolder holder({.self = host, .zone_hosts = ..., .electorate = ...});
+//   LeaseHolder holder({.self = host, .zone_hosts = ..., .voters = ...});
 //   holder.SetTargets(targets, now);
 //   LeaseActions actions = holder.Tick(now);   // messages and shares
 //
-// `ZoneLeases` joins it with the host's own grantor, and is what to use.
+// Use `ZoneLeases`, which combines it with the host's own grantor.
 
 #ifndef KNAPWEEDROAD_ADMISSION_LEASE_HOLDER_H_
 #define KNAPWEEDROAD_ADMISSION_LEASE_HOLDER_H_
@@ -32,13 +34,14 @@
 struct LeaseTarget {
   TargetId target;
   uint32_t slots = 1;
-  // The longest that an attempt at it may run: the front's longest deadline
-  // and the margin of `TargetAdmission`.
+  // The longest time that an attempt at the target may run: the longest
+  // deadline of its front plus the margin of `TargetAdmission`.
   Duration work_time = std::chrono::seconds(10);
 };
 
-// What is to be done: requests to send, each over any channel and none of them
-// needing a resend, and shares to hand to each target's admission.
+// What the caller must do next: send the requests, and apply each share to the
+// admission of its target. Requests may be sent over any channel, and a lost
+// one needs no resend.
 struct LeaseActions {
   struct Message {
     HostId to;
@@ -56,86 +59,101 @@
  public:
   struct Options {
     HostId self;
-    // Greater with each start of this host.
+    // Must increase with each start of this host.
     uint64_t incarnation = 0;
+    // The start of this process, by the clock of the `now` parameters.
     TimePoint started{};
     // All configured hosts of the zone, this one included.
     std::vector<HostId> zone_hosts;
+    // The hosts that vote on leases (`LeaseVoters()`).
     std::vector<HostId> voters;
     LeaseTiming timing;
-    // How often anything is asked for again.
+    // The interval at which the state of each target is advanced and failed
+    // requests are repeated.
     Duration retry_interval = std::chrono::milliseconds(100);
-    // A better-placed host must have been there for this long before it is
-    // given a target that another one serves well.
+    // How long another host must have been the preferred one before a working
+    // holder hands the target over to it.
     Duration handover_delay = std::chrono::seconds(2);
-    // Targets handed over at once, as each starts cold at its next holder.
+    // The most targets that are handed over at once. Each of them starts cold
+    // at its next holder.
     uint32_t max_handovers = 2;
   };
 
   explicit LeaseHolder(const Options& options);
 
-  // All targets of this host's zone that exist now. One that is no longer
-  // among them is given up once OnDrained() was said of it.
+  // Sets all targets of this host's zone. A target that is no longer listed is
+  // drained, and released after OnDrained() is called for it.
   void SetTargets(std::span<const LeaseTarget> targets, TimePoint now);
 
-  // The zone's hosts, this one included, that can hold leases now: alive, not
-  // leaving, in touch with a majority.
+  // Sets the hosts of the zone that can hold leases now, this one included:
+  // they are running, aren't leaving and reach a majority of the voters.
   void SetEligibleHosts(std::span<const HostId> hosts, TimePoint now);
 
-  // Nothing runs any more at a target whose share is zero. To be said when
-  // that comes to be so, and when a share becomes zero with nothing running.
+  // Reports that no attempt of this host is running at a target whose share is
+  // zero. Must be called when the last attempt ends, and when the share becomes
+  // zero while none is running. Has no effect while the share isn't zero.
   void OnDrained(const TargetId& target);
 
-  // Any request of another host that its grantor took: a sign of its life.
+  // Records a request of another host that this host's grantor accepted.
   void OnPeerRequest(const LeaseRequest& request, TimePoint now) {
     this->peer_liveness.OnRequest(request.holder, request.incarnation,
                                   request.is_final, now);
   }
 
-  // The host's peer port refused a connection begun at `attempted`: no process
-  // of it runs. To be said of refusals only, never of silence.
+  // Records that the host's peer port refused a connection begun at
+  // `attempted_at`, which shows that no process of that host is running. Must
+  // be called for refusals only, never for a timeout.
   void OnConnectionRefused(const HostId& host,
-                           TimePoint attempted,
+                           TimePoint attempted_at,
                            TimePoint now) {
-    this->peer_liveness.OnConnectionRefused(host, attempted, now);
+    this->peer_liveness.OnConnectionRefused(host, attempted_at, now);
   }
 
+  // Applies a reply. Ignores it if it doesn't belong to a request of this
+  // incarnation that was sent within the last lease length.
   void OnReply(const LeaseReply& reply, TimePoint now);
 
-  // Hands everything over, then says goodbye; gone() once that is done.
+  // Starts to leave: the following calls of Tick() drain and release all
+  // targets, then return the final requests. has_left() is true after that.
   void Leave() { this->leaving = true; }
   bool has_left() const { return this->final_request_sent; }
 
+  // Updates the lease state of all targets and returns what to do next. Must be
+  // called at NextWake() and after each event.
   LeaseActions Tick(TimePoint now);
+  // Returns the time at which Tick() must be called next.
   TimePoint NextWake() const { return this->next_wake; }
 
-  // For heartbeats: whether this host can be granted leases now.
+  // Returns whether this host reaches a majority of the voters, and so can hold
+  // leases now. Used in heartbeats.
   bool ReachesMajority(TimePoint now) const {
     return this->peer_liveness.ReachesMajority(now);
   }
-  // The targets that this host may use now, for heartbeats and status.
+  // Returns the targets that this host may use now, for heartbeats and status.
   std::vector<TargetId> HeldTargetIds() const;
-  // The same with what heartbeats say of them.
+  // Returns the same targets with the details that heartbeats send.
   std::vector<HeldTarget> HeldTargets(TimePoint now) const;
 
  private:
   struct Entry {
     TargetLease lease;
+    // The hosts of the zone, the most preferred first.
     std::vector<HostId> preference_order;
     Duration work_time{};
     TargetShare share;
     TimePoint held_since{};
-    // Attempts under a former or present share may run.
+    // Whether attempts under a former or the present share may be running.
     bool may_have_work = false;
     TimePoint next_request{};
     TimePoint next_renewal{};
-    // Since when another host has been the preferred one.
+    // The time since which another host has been the preferred one.
     TimePoint other_preferred_since = TimePoint::max();
-    // Replies to earlier requests than this are of before a release.
+    // Replies to requests before this one are ignored: a release followed them.
     uint64_t min_valid_sequence = 0;
-    // A release waits to be sent.
+    // Whether a release has not been returned by Tick() yet.
     bool release_pending = false;
-    // Its target is gone; it stays until nothing of it runs.
+    // Whether the target is no longer listed. The entry is kept until no
+    // attempt is running.
     bool removed = false;
   };
   using OperationsByHost = std::map<HostId, std::vector<LeaseOperation>>;
@@ -162,7 +180,7 @@
   bool leaving = false;
   bool final_request_sent = false;
   uint64_t sequence = 0;
-  // When each request was handed out that may still be answered.
+  // The time at which Tick() returned each request that may still get a reply.
   std::map<uint64_t, TimePoint> sent_at;
   OperationsByHost pending_operations;
   TimePoint next_advance{};
--- a/knapweedroad/admission/lease_holder_test.cc
+++ b/knapweedroad/admission/lease_holder_test.cc
@@ -15,8 +15,8 @@
 const HostId kHostB("b");
 const TargetId kOnlyTarget("t");
 
-// The holder at host "a" of the zone {a, b} with the witness w, where every
-// request's answer is made by hand.
+// The holder at host "a" of the zone {a, b} with the witness w. Each test
+// creates the replies to its requests.
 struct HolderFixture {
   LeaseHolder holder{{.self = kHostA,
                       .incarnation = 7,
@@ -58,7 +58,7 @@
     return reply;
   }
 
-  // Grants all that is asked until nothing more is.
+  // Grants all requests until there are no more.
   void GrantAll(TimePoint now) {
     for (int round = 0; round < 4; ++round) {
       for (const auto& message : this->Tick(now)) {
@@ -85,9 +85,9 @@
   cr_assert_eq(fixture.share.slots, 2u);
 }
 
-// The grants were given when the requests came in, and the answers take a
-// second. Counted from the answers, the lease would outlast the grants.
-Test(LeaseHolder, CountsALeaseFromTheSendingOfTheRequest) {
+// Replies take a second to arrive. If the lease counted from their arrival, it
+// would outlast the grants.
+Test(LeaseHolder, LeaseStartsWhenRequestIsSent) {
   HolderFixture fixture;
   const auto requests = fixture.Tick(kStart);
   for (const auto& message : requests) {
@@ -106,9 +106,9 @@
   cr_assert(fixture.share.valid_until < kStart + seconds(2));
 }
 
-// The host restarts, and the answers to its former life's requests come in.
-// They bear the numbers of requests that it has just sent.
-Test(LeaseHolder, AnswersToAFormerLifeGrantNothing) {
+// The host restarts, and replies to its former incarnation arrive. Their
+// sequences are those of requests that it has just sent.
+Test(LeaseHolder, IgnoresRepliesToFormerIncarnation) {
   HolderFixture fixture;
   for (int round = 0; round < 4; ++round) {
     for (const auto& message : fixture.Tick(kStart)) {
@@ -116,16 +116,16 @@
     }
   }
   cr_assert_eq(fixture.share.slots, 0u);
-  // The true answers of before are older than a lease by then.
+  // The valid replies, from the setup, are older than one lease length by then.
   cr_assert(!fixture.holder.ReachesMajority(kStart + milliseconds(1600)));
 }
 
-// Votes without a majority are given back. An answer that granted one of them
-// comes in after that, when its grantor may have given it to another host.
-Test(LeaseHolder, AGrantThatCrossesItsReleaseIsNone) {
+// Votes without a majority are released. Replies that granted them arrive after
+// that, when the grantors may have granted the votes to another host.
+Test(LeaseHolder, IgnoresGrantsRequestedBeforeRelease) {
   HolderFixture fixture;
   const auto requests = fixture.Tick(kStart);
-  fixture.Tick(kStart + milliseconds(100));  // gives back
+  fixture.Tick(kStart + milliseconds(100));  // releases the votes
   const auto retries = fixture.Tick(kStart + milliseconds(500));
   cr_assert(!retries.empty());
   for (const auto& message : requests) {
@@ -133,13 +133,15 @@
                            kStart + milliseconds(500));
   }
   for (const auto& message : fixture.Tick(kStart + milliseconds(500))) {
-    cr_assert(message.request.operations.empty(), "took them for a majority");
+    cr_assert(message.request.operations.empty(),
+              "counted released votes as a majority");
   }
 }
 
-// A goodbye of b's former life is delayed past b's restart and ours. Were it
-// believed, b's part of the slots would be taken while b may use it.
-Test(LeaseHolder, AGoodbyeOfAnUnknownIncarnationIsNotBelieved) {
+// The final request of b's former incarnation is delayed past restarts of b and
+// of this host. If it were accepted, this host would take over b's part of the
+// slots while b may use it.
+Test(LeaseHolder, IgnoresFinalRequestOfUnknownIncarnation) {
   HolderFixture fixture;
   fixture.holder.OnPeerRequest(PeerRequest(kHostB, 3, true), kStart);
   for (int round = 0; round < 4; ++round) {
@@ -158,11 +160,11 @@
   cr_assert_eq(fixture.share.slots, 2u);
 }
 
-Test(LeaseHolder, ARefusalOlderThanTheLastSignOfLifeSaysNothing) {
+Test(LeaseHolder, IgnoresRefusalOlderThanLatestRequest) {
   HolderFixture fixture;
   fixture.holder.OnPeerRequest(PeerRequest(kHostB, 4, false), kStart);
   fixture.holder.OnConnectionRefused(kHostB, kStart - milliseconds(1), kStart);
-  // Long after the longest work, in touch with a majority without b.
+  // Runs past the longest work time; a majority without b replies.
   for (int ms = 0; ms <= 13000; ms += 100) {
     const TimePoint now = kStart + milliseconds(ms);
     for (const auto& message : fixture.Tick(now)) {
@@ -175,9 +177,10 @@
   cr_assert_eq(fixture.share.slots, 1u);
 }
 
-// b used its own part alone, was stopped, and wakes up while that work still
-// runs. It lends the part to the holder, which has to let the work end first.
-Test(LeaseHolder, ABorrowedPartCountsOnceItsOwnersWorkHasEnded) {
+// b used its own part while isolated, was suspended, and resumes while attempts
+// from that time are still running. It lends the part to the holder, which must
+// not use it before those attempts have ended.
+Test(LeaseHolder, LentPartIsUnusedUntilOwnersWorkHasEnded) {
   HolderFixture fixture;
   for (int round = 0; round < 4; ++round) {
     for (const auto& message : fixture.Tick(kStart)) {
@@ -195,10 +198,11 @@
   cr_assert_eq(fixture.share.slots, 2u);
 }
 
-// The two hosts of the zone lose each other and the witness soon after "a" has
-// restarted. "b" knew the former "a" for stopped and had work on its slots when
-// the new one greeted it: that work still runs.
-Test(LeaseHolder, ARestartedHostUsesItsPartOnlyAfterTheOthersWorkHasEnded) {
+// The two hosts of the zone lose contact with each other and with the witness
+// soon after "a" has restarted. "b" counted the former incarnation of "a" as
+// stopped and used its slots until it replied to the new incarnation. Attempts
+// of "b" on those slots may still be running.
+Test(LeaseHolder, RestartedHostWaitsForOthersWorkOnItsPart) {
   HolderFixture fixture;
   for (int ms = 0; ms <= 12000; ms += 100) {
     const TimePoint now = kStart + milliseconds(ms);
@@ -207,7 +211,8 @@
         fixture.holder.OnReply(HolderFixture::GrantAllOf(message), now);
       }
     }
-    // Greeted half a second before the start; work runs for up to ten.
+    // "b" replied half a second before `kStart`; attempts run for up to ten
+    // seconds.
     cr_assert(ms > 9500 || fixture.share.slots == 0, "at %d ms", ms);
   }
   fixture.Tick(kStart + milliseconds(12001));
@@ -215,9 +220,10 @@
   cr_assert(!fixture.share.cold_allowed);
 }
 
-// "a" reaches no majority and uses its own part. The holder, which does, can
-// reach "a" and asks for the part: "a" stops, and gives it back once drained.
-Test(LeaseHolder, AnIsolatedHostLendsItsPartWhenAsked) {
+// "a" reaches no majority and uses its own part. The holder has a majority, can
+// reach "a" and requests the part. "a" must stop sending, and release the part
+// once it is drained.
+Test(LeaseHolder, IsolatedHostReleasesItsPartOnRequest) {
   HolderFixture fixture;
   bool wanted = false;
   bool released = false;
@@ -245,7 +251,7 @@
   cr_assert(released);
 }
 
-Test(LeaseHolder, ARemovedTargetIsKeptUntilNothingRuns) {
+Test(LeaseHolder, KeepsRemovedTargetUntilDrained) {
   HolderFixture fixture;
   fixture.GrantAll(kStart);
   fixture.holder.SetTargets({}, kStart);
--- a/knapweedroad/admission/lease_reply.h
+++ b/knapweedroad/admission/lease_reply.h
@@ -1,4 +1,4 @@
-// The answer to a `LeaseRequest`.
+// The reply to a `LeaseRequest`.
 
 #ifndef KNAPWEEDROAD_ADMISSION_LEASE_REPLY_H_
 #define KNAPWEEDROAD_ADMISSION_LEASE_REPLY_H_
@@ -12,17 +12,20 @@
 
 namespace knapweedroad {
 
+// The result of one operation that requested or renewed a grant.
 struct LeaseGrant {
   TargetId target;
   LeasePart part = LeasePart::kVote;
+  // Whether the requester has the grant now. If not, it may request it again
+  // later.
   bool granted = false;
-  // Work of an earlier holder may run for so long yet: nothing may be sent
-  // under this grant before that.
+  // How long attempts of earlier holders may still run, from the receipt of the
+  // reply. Nothing may be sent under this grant before that time has passed.
   Duration start_delay{};
-  // Another host has asked for it in the meantime.
+  // Whether another host has requested the grant since it was assigned.
   bool wanted = false;
 
-  // For cereal.
+  // For serialization with cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->part, this->granted, this->start_delay,
@@ -31,14 +34,15 @@
 };
 
 struct LeaseReply {
+  // The sender of the reply.
   HostId grantor;
-  // Of the request, as they stood there.
+  // Copied from the request.
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  // One for each ask that is no release.
+  // One for each operation that isn't a release, in the same order.
   std::vector<LeaseGrant> grants;
 
-  // For cereal.
+  // For serialization with cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->grantor, this->incarnation, this->sequence, this->grants);
--- a/knapweedroad/admission/lease_request.h
+++ b/knapweedroad/admission/lease_request.h
@@ -1,8 +1,9 @@
-// What a host asks of another one about the leases on a zone's targets. One
-// message carries all that it asks of that host.
+// A message from one host to another that requests and releases leases on the
+// targets of a zone. One message carries all operations for the receiver.
 //
 //   LeaseRequest{.holder = self, .incarnation = start, .sequence = 7,
-//                .asks = {{.target = target, .part = LeasePart::kVote}}}
+//                .operations = {{.target = target,
+//                                .part = LeasePart::kVote}}}
 
 #ifndef KNAPWEEDROAD_ADMISSION_LEASE_REQUEST_H_
 #define KNAPWEEDROAD_ADMISSION_LEASE_REQUEST_H_
@@ -15,21 +16,25 @@
 
 namespace knapweedroad {
 
-// `kVote`: the voice of a member of the electorate; a majority of them is the
-// lease. `kSlots`: that part of the target's slots which the asked host may use
-// by itself while it is cut off, and lends to the holder otherwise.
+// What an operation applies to. `kVote` is the vote of one host; the host with
+// the votes of a majority of the voters (`LeaseVoters()`) holds the lease.
+// `kSlots` is the part of the target's slots that the receiving host owns. The
+// owner uses it by itself while it doesn't reach a majority of the voters, and
+// lends it to the holder of the lease otherwise.
 enum class LeasePart : uint8_t { kVote, kSlots };
 
+// Requests or renews a grant from the receiving host, or releases it.
 struct LeaseOperation {
   TargetId target;
   LeasePart part = LeasePart::kVote;
-  // Gives back instead of asking.
+  // Releases the grant instead of requesting it.
   bool release = false;
-  // How long work of the holder may run on after the lease has ended: after
-  // an expiry, or, with `release`, from now on (zero: nothing runs).
+  // How long attempts of the holder may continue to run after the lease has
+  // ended. Counts from the expiry of the grant, or, with `release`, from the
+  // receipt of the release; zero then means that no attempt is running.
   Duration work_time{};
 
-  // For cereal.
+  // For serialization with cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->part, this->release, this->work_time);
@@ -37,17 +42,20 @@
 };
 
 struct LeaseRequest {
+  // The sender, which holds or requests the grants.
   HostId holder;
-  // Differs, and grows, with each start of the host; with `sequence`, which
-  // grows with each request, it orders requests.
+  // Increases with each start of the sender, and `sequence` with each request
+  // of an incarnation. Requests are ordered by incarnation, then by sequence.
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  // The host stops, holds nothing any more and has nothing running.
+  // Whether this is the last request of a sender that is stopping: it holds no
+  // grants and has no attempts running.
   bool is_final = false;
-  // May be empty: a request is also a sign of life that wants an answer.
+  // May be empty: the request then only shows that the sender is running, and
+  // the reply that the receiver is.
   std::vector<LeaseOperation> operations;
 
-  // For cereal.
+  // For serialization with cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->holder, this->incarnation, this->sequence, this->is_final,
--- a/knapweedroad/admission/peer_liveness.cc
+++ b/knapweedroad/admission/peer_liveness.cc
@@ -18,9 +18,9 @@
   this->first_reply_at.try_emplace(host, now);
 }
 
-// A goodbye that was delayed past a restart of this host, or of the one it is
-// from, may not make a host that runs count as stopped: it is believed of the
-// incarnation that was last heard only.
+// A final request may be delayed past a restart of this host or of its sender.
+// It must not make a running host count as stopped, so it is accepted only if
+// the previous request of that host had the same incarnation.
 void PeerLiveness::OnRequest(const HostId& host,
                              uint64_t incarnation,
                              bool is_final,
@@ -36,11 +36,11 @@
 }
 
 void PeerLiveness::OnConnectionRefused(const HostId& host,
-                                       TimePoint attempted,
+                                       TimePoint attempted_at,
                                        TimePoint now) {
   const auto found = this->last_requests.find(host);
   if (found != this->last_requests.end() &&
-      found->second.received_at >= attempted) {
+      found->second.received_at >= attempted_at) {
     return;
   }
   this->stopped_from.try_emplace(host, now + this->MaxWorkTime());
@@ -63,9 +63,10 @@
          !this->ReachesMajority(now);
 }
 
-// A holder may take the part of a host that it knows not to run. Until every
-// host of the zone has answered this incarnation, one of them may do so with
-// this host's part; and until its work has ended after that, it is still there.
+// A holder may take over the part of a host that is known not to be running. A
+// host of the zone that hasn't replied to this incarnation yet may have taken
+// over this host's part, and the attempts that it sent under it may still run
+// for the longest work time after its first reply.
 bool PeerLiveness::MayUseOwnPart(TimePoint now) const {
   const auto work_has_ended = [&](const HostId& host) {
     const auto found = this->first_reply_at.find(host);
--- a/knapweedroad/admission/rendezvous.cc
+++ b/knapweedroad/admission/rendezvous.cc
@@ -16,7 +16,8 @@
   return XXH64(target.str().data(), target.str().size(), seed);
 }
 
-// The first host by name of the next zone by name, after the last the first.
+// Returns the first host by name of the zone that follows `zone` by name; the
+// first zone follows the last. Null if there is no other zone.
 const PeerSettings* FindWitness(const ZoneId& zone,
                                 std::span<const PeerSettings> hosts) {
   const auto sort_key = [&](const PeerSettings& peer) {
--- a/knapweedroad/admission/rendezvous.h
+++ b/knapweedroad/admission/rendezvous.h
@@ -1,4 +1,5 @@
-// Which hosts of a zone are responsible for a target, and who votes on it.
+// Selects the hosts of a zone that should hold the lease of a target, and the
+// hosts that vote on its lease.
 //
 //   std::vector<HostId> order = RendezvousOrder(target, zone_hosts);
 //   const HostId& preferred = order.front();
@@ -16,21 +17,24 @@
 
 struct PeerSettings;
 
-// The hosts ordered for this target, the most responsible first; every host
-// computes the same order, and losing one moves only its own targets.
+// Returns `hosts` in order of preference for this target, by rendezvous
+// hashing. Every host computes the same order, and removing a host moves only
+// the targets for which it was first.
 std::vector<HostId> RendezvousOrder(const TargetId& target,
                                     std::span<const HostId> hosts);
 
-// The hosts of the zone in order of name.
+// Returns the hosts of the zone in order of name.
 std::vector<HostId> HostsOfZone(const ZoneId& zone,
                                 std::span<const PeerSettings> hosts);
 
+// The largest number of voters from the zone itself.
 inline constexpr std::size_t kMaxZoneVoters = 5;
 
-// The hosts that vote on the leases of the zone's targets: its first five by
-// name and, where that number is even, one witness of another zone, so that
-// two hosts of a zone that lose each other can still be told apart. The same
-// on every host as long as their settings are.
+// Returns the hosts that vote on the leases of the zone's targets: the first
+// `kMaxZoneVoters` hosts of the zone by name and, if their number is even, a
+// witness from another zone, if there is one. With the witness, one of two
+// hosts of a zone that have lost contact with each other can still reach a
+// majority. Every host with the same settings computes the same voters.
 std::vector<HostId> LeaseVoters(const ZoneId& zone,
                                 std::span<const PeerSettings> hosts);
 
--- a/knapweedroad/admission/rendezvous_test.cc
+++ b/knapweedroad/admission/rendezvous_test.cc
@@ -22,7 +22,7 @@
   return hosts;
 }
 
-Test(Rendezvous, TheElectorateIsOddWhereAnotherZoneCanHelp) {
+Test(Rendezvous, NumberOfVotersIsOddIfAnotherZoneExists) {
   cr_assert_eq(LeaseVoters(ZoneId("a"), Hosts(1, 2)).size(), 1u);
   const auto two = LeaseVoters(ZoneId("a"), Hosts(2, 3));
   cr_assert_eq(two.size(), 3u);
@@ -32,7 +32,7 @@
   cr_assert_eq(LeaseVoters(ZoneId("a"), Hosts(2, 0)).size(), 2u);
 }
 
-Test(Rendezvous, LosingAHostMovesOnlyItsTargets) {
+Test(Rendezvous, RemovingHostMovesOnlyItsTargets) {
   const std::vector<HostId> all{HostId("a"), HostId("b"), HostId("c")};
   const std::vector<HostId> rest{HostId("a"), HostId("c")};
   int moved = 0;
--- a/knapweedroad/admission/target_lease.h
+++ b/knapweedroad/admission/target_lease.h
@@ -1,6 +1,6 @@
-// The grants that one host holds for one target: votes of the hosts in the
-// electorate (`LeaseVoters()`), and parts of the target's slots lent by the
-// hosts that own them. Each grant has a time from which it may be used and a
+// The grants that one host holds for one target: votes of the hosts that
+// `LeaseVoters()` returns, and parts of the target's slots lent by the hosts
+// that own them. Each grant has a time from which it may be used and a
 // time at which it expires.
 //
 //   lease.OnGrant(grantor, grant, sent_at, now, timing);
--- a/knapweedroad/admission/zone_leases.cc
+++ b/knapweedroad/admission/zone_leases.cc
@@ -41,9 +41,9 @@
 }
 
 void ZoneLeases::OnConnectionRefused(const HostId& host,
-                                     TimePoint attempted,
+                                     TimePoint attempted_at,
                                      TimePoint now) {
-  this->holder.OnConnectionRefused(host, attempted, now);
+  this->holder.OnConnectionRefused(host, attempted_at, now);
 }
 
 void ZoneLeases::Leave() {
@@ -77,7 +77,8 @@
   return actions;
 }
 
-// Requests to this host itself are answered on the spot.
+// Runs the holder until it is idle. Requests to this host itself go directly to
+// its grantor.
 void ZoneLeases::AdvanceHolder(TimePoint now, Actions& actions) {
   bool self_replied = true;
   while (self_replied) {
--- a/knapweedroad/admission/zone_leases_test.cc
+++ b/knapweedroad/admission/zone_leases_test.cc
@@ -19,15 +19,17 @@
 
 constexpr Duration kStep = milliseconds(5);
 const TargetId kOnlyTarget("t");
-// Work that outlives a lease, and clocks that run apart as far as they may.
+// Attempts may run longer than a lease. The clocks of two hosts drift apart by
+// no more than the divisor allows.
 const LeaseTiming kShortTiming{.length = milliseconds(200),
                                .max_work_time = milliseconds(350),
                                .clock_drift_divisor = 10};
 constexpr double kClockDrift = 0.02;
 
-// The hosts of a zone and their witness, a network that loses, delays and cuts,
-// and one target that counts what runs on it. Each host's clock runs at a rate
-// of its own, inside of the bound that the leases are told.
+// Simulates the hosts of a zone and their witness, a network that loses and
+// delays messages and separates hosts, and one target. Asserts in each step
+// that no more attempts run on the target than it may have. Each host's clock
+// runs at its own rate, within the drift that the leases allow for.
 class Simulation {
  public:
   Simulation(int zone_hosts, uint32_t slots, uint32_t seed, bool cold = false)
@@ -72,7 +74,7 @@
     }
   }
 
-  // The process ends at once; its attempts stay on the target.
+  // Ends the process at once; its attempts continue to run on the target.
   void Crash(std::size_t i) {
     this->hosts[i].up = false;
     for (Attempt& attempt : this->attempts) {
@@ -108,7 +110,7 @@
     cr_assert_leq(this->attempts.size(), this->cold ? 1 : this->slots);
   }
 
-  // One fault or its end, anywhere.
+  // Starts or ends a random fault at a random host.
   void InjectRandomFault() {
     const std::size_t i = this->RandomBelow(this->hosts.size());
     Host& host = this->hosts[i];
@@ -158,7 +160,7 @@
 
  private:
   struct Message {
-    TimePoint at;
+    TimePoint deliver_at;
     std::variant<LeaseRequest, LeaseReply> content;
   };
   struct Host {
@@ -222,7 +224,7 @@
   void Deliver(std::size_t i, Host& host, TimePoint now) {
     std::vector<Message> due;
     std::erase_if(host.inbox, [&](Message& message) {
-      if (message.at.time_since_epoch() > this->true_time) {
+      if (message.deliver_at.time_since_epoch() > this->true_time) {
         return false;
       }
       due.push_back(std::move(message));
@@ -238,7 +240,9 @@
     }
   }
 
-  // What heartbeats would show; now and then something quite wrong.
+  // Sets the hosts that heartbeats would show as eligible, and reports refused
+  // connections to hosts that aren't running. Without `accurate_views`, some of
+  // the eligible hosts are wrong.
   void UpdateView(std::size_t i, Host& host, TimePoint now) {
     std::vector<HostId> eligible;
     for (std::size_t j = 0; j < this->hosts.size(); ++j) {
@@ -300,48 +304,49 @@
   }
 }
 
-// Hosts crash, freeze, restart, leave and lose each other in every order, each
-// with a clock of its own rate: what they may send, with what they have left
-// running, never passes the slots of the target.
-Test(ZoneLeases, TwoHostsNeverPassTheSlots) {
+// Hosts crash, pause, restart, leave and lose contact in random order, each
+// with its own clock rate. The attempts that they send, together with those
+// that still run from before, must never exceed the slots of the target.
+Test(ZoneLeases, TwoHostsNeverExceedSlots) {
   RunRandomFaults(2, 2, false, 600);
 }
-Test(ZoneLeases, ThreeHostsNeverPassTheSlots) {
+Test(ZoneLeases, ThreeHostsNeverExceedSlots) {
   RunRandomFaults(3, 3, false, 600);
 }
-Test(ZoneLeases, AColdTargetIsSentToByOneHostOnly) {
+Test(ZoneLeases, OnlyOneHostSendsToColdTarget) {
   RunRandomFaults(3, 2, true, 400);
 }
 
-Test(ZoneLeases, ThePreferredHostHoldsAllSlots) {
+Test(ZoneLeases, PreferredHostHoldsAllSlots) {
   Simulation simulation(3, 2, 1);
   simulation.Run(seconds(1));
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(0)), 2u);
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(1)), 0u);
 }
 
-Test(ZoneLeases, ACrashedHolderIsReplacedWithAllSlots) {
+Test(ZoneLeases, NextHostHoldsAllSlotsAfterCrash) {
   Simulation simulation(3, 2, 1);
   simulation.Crash(simulation.HostOfRank(0));
   simulation.Run(seconds(1));
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(1)), 2u);
 }
 
-// The holder is stopped: its port still takes connections, so that nobody can
-// tell it from a host that is cut off and uses its part of the slots.
-Test(ZoneLeases, ASilentOwnerKeepsItsPartOfTheSlots) {
+// The holder becomes unreachable, but no connection to it is refused. It may be
+// isolated and use its part of the slots, so that no other host may use them.
+Test(ZoneLeases, UnreachableOwnerKeepsItsPart) {
   Simulation simulation(3, 3, 1);
   const std::size_t preferred = simulation.HostOfRank(0);
   simulation.SetDisconnected(preferred, true);
   simulation.Run(seconds(2));
-  cr_assert_eq(simulation.SlotsAt(preferred), 2u, "alone, with its own part");
+  cr_assert_eq(simulation.SlotsAt(preferred), 2u,
+               "isolated, with its own part");
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(1)), 1u);
   simulation.SetDisconnected(preferred, false);
   simulation.Run(seconds(2));
   cr_assert_eq(simulation.SlotsAt(preferred), 3u);
 }
 
-Test(ZoneLeases, AHostThatLeavesHandsOverAndSaysGoodbye) {
+Test(ZoneLeases, LeavingHostHandsOverAllSlots) {
   Simulation simulation(3, 2, 1);
   const std::size_t preferred = simulation.HostOfRank(0);
   simulation.LeasesOf(preferred).Leave();
@@ -350,16 +355,16 @@
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(1)), 2u);
 }
 
-// Both hosts of a zone run, and the rest of the world is cut off. They are a
-// majority of the three voters and serve on with everything.
-Test(ZoneLeases, AZoneThatIsCutOffAsAWholeServesOn) {
+// Both hosts of a zone run but have lost contact with the witness. They are a
+// majority of the three voters and keep all slots.
+Test(ZoneLeases, ZoneWithoutWitnessKeepsAllSlots) {
   Simulation simulation(2, 2, 1);
   simulation.SetDisconnected(2, true);
   simulation.Run(seconds(2));
   cr_assert_eq(simulation.SlotsAt(simulation.HostOfRank(0)), 2u);
 }
 
-Test(ZoneLeases, TheLastHostOfAZoneThatIsCutOffKeepsItsPart) {
+Test(ZoneLeases, LastHostWithoutWitnessKeepsItsPart) {
   Simulation simulation(2, 2, 1);
   simulation.SetDisconnected(2, true);
   simulation.Crash(simulation.HostOfRank(1));
