--- a/bench/query/experiment.h
+++ b/bench/query/experiment.h
@@ -50,7 +50,7 @@
   double hedge_budget = 0.05;
   // The baseline: a random replica, no hedge, no retry, wait for all.
   bool baseline = false;
-  // Whether queries pass a FrontGate.
+  // Whether queries pass a QueryLimiter.
   bool gate = false;
   double slow_share = 0.5;
   std::vector<TenantConfig> tenants;
--- a/bench/query/experiment_host.cc
+++ b/bench/query/experiment_host.cc
@@ -26,7 +26,7 @@
       zone(zone),
       result(result),
       state(front),
-      gate({.front = front, .slow_share = options.slow_share}),
+      limiter({.front = front, .slow_fraction = options.slow_share}),
       random(fleet.service_times()) {
   if (options.baseline) {
     this->state.SetOverloaded(true);
@@ -44,9 +44,9 @@
       .record = {.arrived = now, .tenant = tenant, .class_name = class_name},
       .deadline = deadline};
   if (this->options.gate) {
-    const GateRequest request{TenantId(tenant), class_name, deadline};
-    const bool refused = this->gate.Arrive(request, now).has_value();
-    this->state.SetOverloaded(this->gate.Overloaded(now));
+    const QueryAdmissionRequest request{TenantId(tenant), class_name, deadline};
+    const bool refused = this->limiter.TryAdmit(request, now).has_value();
+    this->state.SetOverloaded(this->limiter.IsOverloaded(now));
     if (refused) {
       opened.record.refused = true;
       opened.record.at_gate = true;
@@ -149,7 +149,7 @@
     return;
   }
   const bool refused = end == JobEnd::kRefused;
-  AttemptFailure failure{
+  TargetAttemptFailure failure{
       .outcome = RunOutcome::kNotRun,
       .kind = refused ? FailureKind::kRefusedByHolder : FailureKind::kTimeout};
   if (refused) {
@@ -174,13 +174,13 @@
   this->result.hedges += stats.hedges;
   this->result.retries += stats.retries;
   if (this->options.gate) {
-    this->gate.Finish({.tenant = TenantId(opened.record.tenant),
-                       .class_name = opened.record.class_name,
-                       .start = opened.record.arrived,
-                       .deadline = opened.deadline,
-                       .sub_refused = stats.refused},
-                      now);
-    this->state.SetOverloaded(this->gate.Overloaded(now));
+    this->limiter.Finish({.tenant = TenantId(opened.record.tenant),
+                          .class_name = opened.record.class_name,
+                          .start = opened.record.arrived,
+                          .deadline = opened.deadline,
+                          .refused_sub_requests = stats.refused},
+                         now);
+    this->state.SetOverloaded(this->limiter.IsOverloaded(now));
   }
   opened.record.took = now - opened.record.arrived;
   opened.record.coverage = coverage;
--- a/bench/query/experiment_host.h
+++ b/bench/query/experiment_host.h
@@ -14,8 +14,8 @@
 #include "bench/query/event_queue.h"
 #include "bench/query/experiment.h"
 #include "bench/query/searcher.h"
-#include "knapweedroad/query/front_gate.h"
 #include "knapweedroad/query/front_state.h"
+#include "knapweedroad/query/query_limiter.h"
 #include "knapweedroad/query/query_run.h"
 
 namespace knapweedroad::bench {
@@ -73,7 +73,7 @@
   ZoneId zone;
   ExperimentResult& result;
   FrontState state;
-  FrontGate gate;
+  QueryLimiter limiter;
   std::mt19937_64 random;
   uint64_t queries = 0;
   std::map<uint64_t, Open> open;
--- a/bench/query/query_overload_bench.cc
+++ b/bench/query/query_overload_bench.cc
@@ -16,7 +16,7 @@
 
 DEFINE_uint64(seed, 1, "seed of arrivals and service times");
 DEFINE_uint32(seconds, 20, "virtual seconds of each load");
-DEFINE_double(slow_share, 0.5, "as in FrontGateOptions");
+DEFINE_double(slow_share, 0.5, "as in QueryLimiterOptions");
 DEFINE_uint32(services, 10, "services of the front");
 
 namespace {
--- a/knapweedroad/host/attempt_outcome.cc
+++ b/knapweedroad/host/attempt_outcome.cc
@@ -34,8 +34,9 @@
   return FailureKind::kConnection;
 }
 
-AttemptFailure FailureOf(const AttemptReply& reply) {
-  AttemptFailure failure{.outcome = reply.outcome, .kind = KindOf(reply.end)};
+TargetAttemptFailure FailureOf(const AttemptReply& reply) {
+  TargetAttemptFailure failure{.outcome = reply.outcome,
+                               .kind = KindOf(reply.end)};
   if (reply.retry_after_ns > 0) {
     failure.retry_after = Duration(reply.retry_after_ns);
   }
@@ -59,7 +60,7 @@
 
 }  // namespace
 
-tl::expected<SearchReply, AttemptFailure> ReadSubReply(
+tl::expected<SearchReply, TargetAttemptFailure> ReadSubReply(
     const AttemptReply& reply) {
   if (reply.end != AttemptEnd::kAnswered) {
     return tl::unexpected(FailureOf(reply));
@@ -74,7 +75,8 @@
   return read;
 }
 
-tl::expected<RecordReply, AttemptFailure> ReadRecordReply(AttemptReply reply) {
+tl::expected<RecordReply, TargetAttemptFailure> ReadRecordReply(
+    AttemptReply reply) {
   if (reply.end != AttemptEnd::kAnswered) {
     return tl::unexpected(FailureOf(reply));
   }
--- a/knapweedroad/host/coordinator.cc
+++ b/knapweedroad/host/coordinator.cc
@@ -14,8 +14,8 @@
 #include "knapweedroad/net/http_server.h"
 #include "knapweedroad/net/runtime.h"
 #include "knapweedroad/net/timed_event.h"
-#include "knapweedroad/query/front_gate.h"
 #include "knapweedroad/query/lookup_run.h"
+#include "knapweedroad/query/query_limiter.h"
 #include "knapweedroad/query/query_run.h"
 #include "knapweedroad/query/record_run.h"
 
@@ -33,11 +33,11 @@
   explicit FrontRuntime(std::shared_ptr<const FrontConfig> front)
       : front(std::move(front)),
         state(*this->front),
-        gate({.front = *this->front}) {}
+        limiter({.front = *this->front}) {}
 
   std::shared_ptr<const FrontConfig> front;
   FrontState state;
-  FrontGate gate;
+  QueryLimiter limiter;
 };
 
 // Held by every run of the front: an answer that comes late is still counted in
@@ -121,7 +121,7 @@
  public:
   using Result = std::variant<QueryAnswer, RecordReply, QueryRefusal>;
   using ReadReply =
-      std::function<tl::expected<Reply, AttemptFailure>(AttemptReply)>;
+      std::function<tl::expected<Reply, TargetAttemptFailure>(AttemptReply)>;
   using MakeCall = std::function<AttemptCall(const SendAttempt&)>;
 
   LiveRun(Runtime& runtime,
@@ -234,13 +234,13 @@
                                   const QueryRunStats& stats,
                                   bool abandoned) {
   this->options.metrics.CountAttempts(request.front->name, stats);
-  front.gate.Finish({.tenant = request.tenant,
-                     .class_name = request.request_class,
-                     .start = request.start,
-                     .deadline = request.deadline,
-                     .sub_refused = stats.refused,
-                     .abandoned = abandoned},
-                    Runtime::Now());
+  front.limiter.Finish({.tenant = request.tenant,
+                        .class_name = request.request_class,
+                        .start = request.start,
+                        .deadline = request.deadline,
+                        .refused_sub_requests = stats.refused,
+                        .abandoned = abandoned},
+                       Runtime::Now());
 }
 
 namespace {
@@ -367,10 +367,10 @@
   const auto refusal =
       request.work == AttemptWork::kLookup
           ? std::nullopt
-          : front->gate.Arrive({.tenant = request.tenant,
-                                .class_name = request.request_class,
-                                .deadline = request.deadline},
-                               Runtime::Now());
+          : front->limiter.TryAdmit({.tenant = request.tenant,
+                                     .class_name = request.request_class,
+                                     .deadline = request.deadline},
+                                    Runtime::Now());
   if (refusal) {
     response = ProblemResponse(*refusal, request.request_id);
   } else if (request.work == AttemptWork::kSearch) {
@@ -380,7 +380,7 @@
   } else {
     response = self->AnswerLookup(request);
   }
-  front->state.SetOverloaded(front->gate.Overloaded(Runtime::Now()));
+  front->state.SetOverloaded(front->limiter.IsOverloaded(Runtime::Now()));
   const Duration took = Runtime::Now() - request.start;
   self->options.metrics.ObserveRequest(request.front->name, request.tenant,
                                        request.request_class, response.status,
--- a/knapweedroad/host/coordinator.h
+++ b/knapweedroad/host/coordinator.h
@@ -17,10 +17,10 @@
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/host/caller_request.h"
 #include "knapweedroad/net/http_message.h"
-#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/front_state.h"
 #include "knapweedroad/query/query_action.h"
 #include "knapweedroad/query/record_run.h"
+#include "knapweedroad/query/target_attempt_failure.h"
 #include "knapweedroad/target/target_candidate.h"
 
 namespace knapweedroad {
--- a/knapweedroad/host/lookup_service.cc
+++ b/knapweedroad/host/lookup_service.cc
@@ -120,7 +120,7 @@
     return std::move(*waiting->result);
   }
   this->waiters.erase(waiter);
-  this->table.Leave(key, waiter);
+  this->table.RemoveWaiter(key, waiter);
   return QueryRefusal{.status = kGatewayTimeout,
                       .title = "Still running",
                       .detail = "another send of this key still runs",
@@ -132,13 +132,13 @@
   const std::string key = FullKey(request);
   const WaiterId waiter = ++this->last_waiter;
   this->is_first_send = request.first_send;
-  KeyStart start = this->table.Begin(key, request.record_id, waiter,
-                                     Runtime::Now(), request.deadline);
+  BeginResult start = this->table.Begin(key, request.record_id, waiter,
+                                        Runtime::Now(), request.deadline);
   this->is_first_send = false;
-  if (start.decision == KeyDecision::kKnown) {
+  if (start.decision == BeginDecision::kAnswer) {
     return std::move(*start.result);
   }
-  if (start.decision == KeyDecision::kWait) {
+  if (start.decision == BeginDecision::kWait) {
     return this->WaitFor(key, waiter, request.deadline);
   }
   RecordResult result = this->options.run(request);
--- a/knapweedroad/query/fair_share.cc
+++ b/knapweedroad/query/fair_share.cc
@@ -7,24 +7,25 @@
 namespace knapweedroad {
 
 std::vector<double> FairShares(double capacity,
-                               std::span<const Demand> demands) {
+                               std::span<const WeightedDemand> demands) {
   std::vector<size_t> order(demands.size());
   std::iota(order.begin(), order.end(), size_t{0});
   // Who wants least for its weight is satisfied first.
   std::ranges::sort(order, [&demands](size_t left, size_t right) {
-    return demands[left].demand / demands[left].weight <
-           demands[right].demand / demands[right].weight;
+    return demands[left].amount / demands[left].weight <
+           demands[right].amount / demands[right].weight;
   });
-  double weights = 0.0;
-  for (const Demand& demand : demands) {
-    weights += demand.weight;
+  double remaining_weight = 0.0;
+  for (const WeightedDemand& demand : demands) {
+    remaining_weight += demand.weight;
   }
   std::vector<double> shares(demands.size(), 0.0);
   for (const size_t index : order) {
-    const Demand& demand = demands[index];
-    shares[index] = std::min(demand.demand, capacity * demand.weight / weights);
+    const WeightedDemand& demand = demands[index];
+    shares[index] =
+        std::min(demand.amount, capacity * demand.weight / remaining_weight);
     capacity -= shares[index];
-    weights -= demand.weight;
+    remaining_weight -= demand.weight;
   }
   return shares;
 }
--- a/knapweedroad/query/fair_share.h
+++ b/knapweedroad/query/fair_share.h
@@ -1,7 +1,7 @@
 // Weighted max-min fairness.
 //
-//   auto shares = FairShares(10.0, {{.demand = 2, .weight = 1},
-//                                   {.demand = 50, .weight = 1}});  // 2 and 8
+//   auto shares = FairShares(10.0, {{.amount = 2, .weight = 1},
+//                                   {.amount = 50, .weight = 1}});  // 2 and 8
 
 #ifndef KNAPWEEDROAD_QUERY_FAIR_SHARE_H_
 #define KNAPWEEDROAD_QUERY_FAIR_SHARE_H_
@@ -11,16 +11,17 @@
 
 namespace knapweedroad {
 
-struct Demand {
-  double demand = 0.0;
+struct WeightedDemand {
+  double amount = 0.0;
   // Above zero.
   double weight = 1.0;
 };
 
 // What each may have of `capacity`, in the order given: nobody more than its
-// demand, and what one leaves over goes to the others by their weights.
+// demand, and what one leaves over goes to the others by their
+// remaining_weight.
 std::vector<double> FairShares(double capacity,
-                               std::span<const Demand> demands);
+                               std::span<const WeightedDemand> demands);
 
 }  // namespace knapweedroad
 
--- a/knapweedroad/query/front_state.h
+++ b/knapweedroad/query/front_state.h
@@ -15,16 +15,16 @@
 
 struct FrontState {
   explicit FrontState(const FrontConfig& front)
-      : hedges({.share = front.hedge_budget}),
-        retries({.share = front.retry_budget}) {}
+      : hedge_budget({.share = front.hedge_budget}),
+        retry_budget({.share = front.retry_budget}) {}
 
   // Under overload there are neither hedges nor retries, and no latency is
   // recorded: the waits of an overload would stay in the quantiles and hold
   // hedges back for minutes after it has ended.
   void SetOverloaded(bool overloaded) {
     this->is_overloaded = overloaded;
-    this->hedges.SetSuspended(overloaded);
-    this->retries.SetSuspended(overloaded);
+    this->hedge_budget.SetSuspended(overloaded);
+    this->retry_budget.SetSuspended(overloaded);
   }
 
   void RecordLatency(const ServiceId& service,
@@ -36,8 +36,8 @@
   }
 
   LatencyTracker latencies;
-  TokenBudget hedges;
-  TokenBudget retries;
+  TokenBudget hedge_budget;
+  TokenBudget retry_budget;
   bool is_overloaded = false;
 };
 
--- a/knapweedroad/query/idempotency_table.cc
+++ b/knapweedroad/query/idempotency_table.cc
@@ -6,18 +6,20 @@
 namespace knapweedroad {
 namespace {
 
-KeyStart Known(RecordResult result) {
-  return {.decision = KeyDecision::kKnown, .result = std::move(result)};
+BeginResult AnswerNow(RecordResult result) {
+  return {.decision = BeginDecision::kAnswer, .result = std::move(result)};
 }
 
-QueryRefusal Unknown(const char* detail) {
+QueryRefusal UnknownOutcome(const char* detail) {
   return {.status = 503,
           .title = "Outcome unknown",
           .detail = detail,
           .outcome = RunOutcome::kUnknown};
 }
 
-QueryRefusal Refused(int status, const char* detail, Duration retry_after) {
+QueryRefusal RefuseNotRun(int status,
+                          const char* detail,
+                          Duration retry_after) {
   return {.status = status,
           .title = "Not run",
           .detail = detail,
@@ -30,7 +32,7 @@
   return refusal != nullptr && refusal->outcome == RunOutcome::kNotRun;
 }
 
-size_t BytesOf(const RecordResult& result) {
+size_t BodyBytes(const RecordResult& result) {
   const auto* reply = std::get_if<RecordReply>(&result);
   return reply == nullptr ? 0 : reply->body.size();
 }
@@ -40,37 +42,39 @@
 IdempotencyTable::IdempotencyTable(IdempotencyTableOptions options)
     : options(std::move(options)) {}
 
-KeyStart IdempotencyTable::Begin(std::string_view key,
-                                 std::string_view request,
-                                 WaiterId waiter,
-                                 TimePoint now,
-                                 TimePoint deadline) {
-  this->Forget(now);
+BeginResult IdempotencyTable::Begin(std::string_view key,
+                                    std::string_view request,
+                                    WaiterId waiter,
+                                    TimePoint now,
+                                    TimePoint deadline) {
+  this->ForgetExpired(now);
   const auto found = this->by_key.find(key);
   if (found == this->by_key.end()) {
-    return this->BeginUnseen(key, request, now, deadline);
+    return this->BeginNewKey(key, request, now, deadline);
   }
   Entry& entry = *found->second;
   if (entry.request != request) {
-    return Known(Refused(400, "the key was used for another request", {}));
+    return AnswerNow(
+        RefuseNotRun(400, "the key was used for another request", {}));
   }
-  // Each send starts the window anew.
+  // Each send starts the resend_window anew.
   entry.last_sent = now;
   this->entries.splice(this->entries.end(), this->entries, found->second);
-  return this->BeginSeen(entry, waiter, now);
+  return this->BeginExistingKey(entry, waiter, now);
 }
 
-KeyStart IdempotencyTable::BeginUnseen(std::string_view key,
-                                       std::string_view request,
-                                       TimePoint now,
-                                       TimePoint deadline) {
+BeginResult IdempotencyTable::BeginNewKey(std::string_view key,
+                                          std::string_view request,
+                                          TimePoint now,
+                                          TimePoint deadline) {
   const auto since = this->options.responsible_since(key);
   if (!since) {
-    return Known(Refused(503, "another host is responsible for the key", {}));
+    return AnswerNow(
+        RefuseNotRun(503, "another host is responsible for the key", {}));
   }
   if (this->entries.size() >= this->options.max_keys) {
-    return Known(
-        Refused(503, "too many keys are remembered", this->UntilRoom(now)));
+    return AnswerNow(RefuseNotRun(503, "too many keys are remembered",
+                                  this->TimeUntilFreeEntry(now)));
   }
   Entry entry{.key = std::string(key),
               .request = std::string(request),
@@ -79,28 +83,29 @@
               .result = std::nullopt,
               .waiters = {}};
   // A key that isn't known here may have run on the host before. If it was
-  // first sent before the takeover, its next send comes within `window` of it;
-  // that one is answered with `unknown` and remembered, so that still later
-  // ones never run either.
-  if (now < *since + this->options.window) {
-    entry.result = Unknown("it may have begun on a host that was lost");
+  // first sent before the takeover, its next send comes within `resend_window`
+  // of it; that one is answered with `unknown` and remembered, so that still
+  // later ones never run either.
+  if (now < *since + this->options.resend_window) {
+    entry.result = UnknownOutcome("it may have begun on a host that was lost");
   }
   const auto result = entry.result;
   this->Insert(std::move(entry));
-  return result ? Known(*result) : KeyStart{.decision = KeyDecision::kRun};
+  return result ? AnswerNow(*result)
+                : BeginResult{.decision = BeginDecision::kRun};
 }
 
-KeyStart IdempotencyTable::BeginSeen(Entry& entry,
-                                     WaiterId waiter,
-                                     TimePoint now) {
+BeginResult IdempotencyTable::BeginExistingKey(Entry& entry,
+                                               WaiterId waiter,
+                                               TimePoint now) {
   if (entry.result) {
-    return Known(*entry.result);
+    return AnswerNow(*entry.result);
   }
   if (now >= entry.deadline) {
-    return Known(Unknown("it began, and its end was not seen"));
+    return AnswerNow(UnknownOutcome("it began, and its end was not seen"));
   }
   entry.waiters.push_back(waiter);
-  return {.decision = KeyDecision::kWait};
+  return {.decision = BeginDecision::kWait};
 }
 
 std::vector<WaiterId> IdempotencyTable::Finish(std::string_view key,
@@ -117,7 +122,7 @@
     this->Erase(found->second);
     return waiters;
   }
-  const size_t bytes = BytesOf(result);
+  const size_t bytes = BodyBytes(result);
   if (this->answer_bytes + bytes > this->options.max_answer_bytes) {
     entry.result = QueryRefusal{.status = 503,
                                 .title = "Answer not kept",
@@ -129,11 +134,11 @@
     entry.result = result;
     this->answer_bytes += bytes;
   }
-  this->Forget(now);
+  this->ForgetExpired(now);
   return waiters;
 }
 
-void IdempotencyTable::Leave(std::string_view key, WaiterId waiter) {
+void IdempotencyTable::RemoveWaiter(std::string_view key, WaiterId waiter) {
   const auto found = this->by_key.find(key);
   if (found != this->by_key.end()) {
     std::erase(found->second->waiters, waiter);
@@ -145,9 +150,9 @@
   for (const Entry& entry : this->entries) {
     records.push_back({.key = entry.key,
                        .request = entry.request,
-                       .result = entry.result.value_or(Unknown(
+                       .result = entry.result.value_or(UnknownOutcome(
                            "it ran on another host when that host left")),
-                       .idle = now - entry.last_sent});
+                       .since_last_send = now - entry.last_sent});
   }
   return records;
 }
@@ -158,10 +163,10 @@
     if (this->by_key.contains(record.key)) {
       continue;
     }
-    this->answer_bytes += BytesOf(record.result);
+    this->answer_bytes += BodyBytes(record.result);
     this->Insert({.key = std::move(record.key),
                   .request = std::move(record.request),
-                  .last_sent = now - record.idle,
+                  .last_sent = now - record.since_last_send,
                   .deadline = now,
                   .result = std::move(record.result),
                   .waiters = {}});
@@ -177,11 +182,11 @@
   this->by_key.emplace(inserted->key, inserted);
 }
 
-void IdempotencyTable::Forget(TimePoint now) {
+void IdempotencyTable::ForgetExpired(TimePoint now) {
   while (!this->entries.empty()) {
     const Entry& oldest = this->entries.front();
     const bool runs = !oldest.result && now < oldest.deadline;
-    if (runs || now <= oldest.last_sent + this->options.window) {
+    if (runs || now <= oldest.last_sent + this->options.resend_window) {
       return;
     }
     this->Erase(this->entries.begin());
@@ -190,18 +195,18 @@
 
 void IdempotencyTable::Erase(Entries::iterator entry) {
   if (entry->result) {
-    this->answer_bytes -= BytesOf(*entry->result);
+    this->answer_bytes -= BodyBytes(*entry->result);
   }
   this->by_key.erase(entry->key);
   this->entries.erase(entry);
 }
 
-Duration IdempotencyTable::UntilRoom(TimePoint now) const {
+Duration IdempotencyTable::TimeUntilFreeEntry(TimePoint now) const {
   if (this->entries.empty()) {
     return kDefaultRetryAfter;
   }
   const TimePoint forgotten =
-      this->entries.front().last_sent + this->options.window;
+      this->entries.front().last_sent + this->options.resend_window;
   return std::max<Duration>(forgotten - now, Duration::zero());
 }
 
--- a/knapweedroad/query/idempotency_table.h
+++ b/knapweedroad/query/idempotency_table.h
@@ -2,18 +2,18 @@
 // responsible for a key, so that a resend never runs a second time.
 //
 //   IdempotencyTable table({.responsible_since = since});
-//   KeyStart start = table.Begin(key, record, waiter, now, deadline);
-//   if (start.decision == KeyDecision::kRun) {
+//   BeginResult start = table.Begin(key, record, waiter, now, deadline);
+//   if (start.decision == BeginDecision::kRun) {
 //     ... run a LookupRun ...
 //     for (WaiterId waiter : table.Finish(key, result, now)) { ... }
 //   }
 //
 // What it promises: a key runs at most once as long as no two sends of it in
-// a row are more than `window` apart. Later resends are not protected: the
-// memory is bounded, and a key that has been quiet for `window` is forgotten.
-// While more than `max_keys` keys are younger than that, new ones are refused
-// as not run; none is forgotten early. So at most max_keys / window new keys
-// a second are served in the long run.
+// a row are more than `resend_window` apart. Later resends are not protected:
+// the memory is bounded, and a key that has been quiet for `resend_window` is
+// forgotten. While more than `max_keys` keys are younger than that, new ones
+// are refused as not run; none is forgotten early. So at most max_keys /
+// resend_window new keys a second are served in the long run.
 
 #ifndef KNAPWEEDROAD_QUERY_IDEMPOTENCY_TABLE_H_
 #define KNAPWEEDROAD_QUERY_IDEMPOTENCY_TABLE_H_
@@ -37,15 +37,15 @@
 // One caller that waits for a key's result.
 using WaiterId = uint64_t;
 
-enum class KeyDecision : uint8_t {
-  kRun,    // nobody has begun it: run it, then call Finish()
-  kWait,   // it runs; Finish() returns the waiter
-  kKnown,  // answer with `result` at once; nothing runs
+enum class BeginDecision : uint8_t {
+  kRun,     // nobody has begun it: run it, then call Finish()
+  kWait,    // it runs; Finish() returns the waiter
+  kAnswer,  // answer with `result` at once; nothing runs
 };
 
-struct KeyStart {
-  KeyDecision decision = KeyDecision::kKnown;
-  // With kKnown only.
+struct BeginResult {
+  BeginDecision decision = BeginDecision::kAnswer;
+  // With kAnswer only.
   std::optional<RecordResult> result;
 };
 
@@ -55,12 +55,12 @@
   std::string request;
   RecordResult result;
   // How long ago the key was last sent.
-  Duration idle{};
+  Duration since_last_send{};
 };
 
 struct IdempotencyTableOptions {
   // Longer than the front's longest deadline.
-  Duration window = std::chrono::seconds(120);
+  Duration resend_window = std::chrono::seconds(120);
   size_t max_keys = 50'000;
   // Answers that are kept, all together. Of those that don't fit it is only
   // remembered that they ran.
@@ -79,11 +79,11 @@
   // `key` is unique across tenants and fronts: the caller of this function
   // puts them in. `request` tells what is asked for; the same key with
   // another one is refused. `deadline` is that of the run.
-  KeyStart Begin(std::string_view key,
-                 std::string_view request,
-                 WaiterId waiter,
-                 TimePoint now,
-                 TimePoint deadline);
+  BeginResult Begin(std::string_view key,
+                    std::string_view request,
+                    WaiterId waiter,
+                    TimePoint now,
+                    TimePoint deadline);
 
   // The run that Begin() allowed has ended; returns who waits besides its own
   // caller. A key that provably did not run is free again.
@@ -92,7 +92,7 @@
                                TimePoint now);
 
   // The waiter has left.
-  void Leave(std::string_view key, WaiterId waiter);
+  void RemoveWaiter(std::string_view key, WaiterId waiter);
 
   // For a planned handover: all keys, those that still run as unknown. The
   // caller has stopped calling Begin() before.
@@ -114,16 +114,16 @@
   };
   using Entries = std::list<Entry>;
 
-  KeyStart BeginUnseen(std::string_view key,
-                       std::string_view request,
-                       TimePoint now,
-                       TimePoint deadline);
-  KeyStart BeginSeen(Entry& entry, WaiterId waiter, TimePoint now);
+  BeginResult BeginNewKey(std::string_view key,
+                          std::string_view request,
+                          TimePoint now,
+                          TimePoint deadline);
+  BeginResult BeginExistingKey(Entry& entry, WaiterId waiter, TimePoint now);
   void Insert(Entry entry);
-  void Forget(TimePoint now);
+  void ForgetExpired(TimePoint now);
   void Erase(Entries::iterator entry);
   // How long until the oldest key is forgotten.
-  Duration UntilRoom(TimePoint now) const;
+  Duration TimeUntilFreeEntry(TimePoint now) const;
 
   IdempotencyTableOptions options;
   // By the time of the last send, oldest first.
--- a/knapweedroad/query/lookup_run.cc
+++ b/knapweedroad/query/lookup_run.cc
@@ -33,8 +33,8 @@
                               RecordReply reply,
                               TimePoint /*now*/) {
   RecordStep step;
-  if (this->live && this->live->id == attempt) {
-    this->live.reset();
+  if (this->in_flight && this->in_flight->id == attempt) {
+    this->in_flight.reset();
     this->is_finished = true;
     step.result = std::move(reply);
   }
@@ -42,13 +42,13 @@
 }
 
 RecordStep LookupRun::OnFailure(const AttemptId& attempt,
-                                const AttemptFailure& failure,
+                                const TargetAttemptFailure& failure,
                                 TimePoint now) {
   RecordStep step;
-  if (!this->live || this->live->id != attempt) {
+  if (!this->in_flight || this->in_flight->id != attempt) {
     return step;
   }
-  this->live.reset();
+  this->in_flight.reset();
   if (failure.outcome != RunOutcome::kNotRun) {
     const bool timeout = failure.kind == FailureKind::kTimeout;
     this->Refuse({.status = timeout ? 504 : 502,
@@ -59,8 +59,9 @@
     return step;
   }
   if (failure.retry_after) {
-    this->shortest_wait = std::min(
-        *failure.retry_after, this->shortest_wait.value_or(Duration::max()));
+    this->shortest_retry_after =
+        std::min(*failure.retry_after,
+                 this->shortest_retry_after.value_or(Duration::max()));
   }
   this->SendOrRefuse(now, step);
   return step;
@@ -71,12 +72,13 @@
   if (this->is_finished || now < this->answer_by) {
     return step;
   }
-  if (!this->live) {
+  if (!this->in_flight) {
     this->Refuse(DeadlinePassed(RunOutcome::kNotRun), step);
     return step;
   }
-  step.actions.emplace_back(CancelAttempt{this->live->id, this->live->target});
-  this->live.reset();
+  step.actions.emplace_back(
+      CancelAttempt{this->in_flight->id, this->in_flight->target});
+  this->in_flight.reset();
   this->Refuse(DeadlinePassed(RunOutcome::kUnknown), step);
   return step;
 }
@@ -99,28 +101,29 @@
   const auto choice =
       ChooseReplica(candidates, {.own_zone = this->options.own_zone,
                                  .snapshot = std::nullopt,
-                                 .excluded = this->tried,
+                                 .excluded = this->tried_targets,
                                  .slots = config.slots,
                                  .cold_slots = config.cold_slots,
                                  .random = this->options.hooks.random});
   if (!choice) {
-    this->Refuse(
-        {.status = 503,
-         .title = "No target",
-         .detail = "no target has room for it",
-         .outcome = RunOutcome::kNotRun,
-         .retry_after = this->shortest_wait.value_or(kDefaultRetryAfter)},
-        step);
+    this->Refuse({.status = 503,
+                  .title = "No target",
+                  .detail = "no target has room for it",
+                  .outcome = RunOutcome::kNotRun,
+                  .retry_after =
+                      this->shortest_retry_after.value_or(kDefaultRetryAfter)},
+                 step);
     return;
   }
-  this->live = InFlightAttempt{.id = this->options.hooks.next_attempt_id(),
-                               .target = choice->target,
-                               .zone = choice->zone,
-                               .sent = now};
-  const AttemptPurpose purpose =
-      this->tried.empty() ? AttemptPurpose::kFirst : AttemptPurpose::kRetry;
-  this->tried.push_back(choice->target);
-  step.actions.emplace_back(SendAttempt{.attempt = this->live->id,
+  this->in_flight = InFlightAttempt{.id = this->options.hooks.next_attempt_id(),
+                                    .target = choice->target,
+                                    .zone = choice->zone,
+                                    .sent = now};
+  const AttemptPurpose purpose = this->tried_targets.empty()
+                                     ? AttemptPurpose::kFirst
+                                     : AttemptPurpose::kRetry;
+  this->tried_targets.push_back(choice->target);
+  step.actions.emplace_back(SendAttempt{.attempt = this->in_flight->id,
                                         .service = this->options.service,
                                         .target = choice->target,
                                         .snapshot = {},
--- a/knapweedroad/query/lookup_run.h
+++ b/knapweedroad/query/lookup_run.h
@@ -19,10 +19,10 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
-#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/record_run.h"
 #include "knapweedroad/query/service_call.h"
+#include "knapweedroad/query/target_attempt_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -51,7 +51,7 @@
                      RecordReply reply,
                      TimePoint now);
   RecordStep OnFailure(const AttemptId& attempt,
-                       const AttemptFailure& failure,
+                       const TargetAttemptFailure& failure,
                        TimePoint now);
   RecordStep OnTimer(TimePoint now);
   std::optional<TimePoint> NextWake() const;
@@ -65,9 +65,9 @@
   LookupRunOptions options;
   TimePoint answer_by;
   // The one attempt in flight.
-  std::optional<InFlightAttempt> live;
-  std::vector<TargetId> tried;
-  std::optional<Duration> shortest_wait;
+  std::optional<InFlightAttempt> in_flight;
+  std::vector<TargetId> tried_targets;
+  std::optional<Duration> shortest_retry_after;
   bool is_finished = false;
 };
 
--- a/knapweedroad/query/query_hedge_test.cc
+++ b/knapweedroad/query/query_hedge_test.cc
@@ -50,12 +50,12 @@
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   fixture.AddTarget("s1", "s1-c", "there");
-  fixture.state.hedges = TokenBudget({.share = 0.0, .burst = 1.0});
+  fixture.state.hedge_budget = TokenBudget({.share = 0.0, .burst = 1.0});
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   run.OnReply(sends[1].attempt, fixture.Reply("b"), fixture.At(9));
-  const AttemptFailure full{.outcome = RunOutcome::kNotRun,
-                            .kind = FailureKind::kRefusedByHolder};
+  const TargetAttemptFailure full{.outcome = RunOutcome::kNotRun,
+                                  .kind = FailureKind::kRefusedByHolder};
   const auto hedge = Sends(run.OnTimer(fixture.At(17)));
   const auto other =
       Sends(run.OnFailure(hedge[0].attempt, full, fixture.At(18)));
@@ -79,11 +79,11 @@
   const auto sends = Sends(run.Start(fixture.At(0)));
   run.OnReply(sends[1].attempt, fixture.Reply("b"), fixture.At(9));
   const auto hedge = Sends(run.OnTimer(fixture.At(12)));
-  const AttemptFailure full{.outcome = RunOutcome::kNotRun,
-                            .kind = FailureKind::kRefusedByHolder};
+  const TargetAttemptFailure full{.outcome = RunOutcome::kNotRun,
+                                  .kind = FailureKind::kRefusedByHolder};
   run.OnFailure(hedge[0].attempt, full, fixture.At(13));
-  const AttemptFailure lost{.outcome = RunOutcome::kUnknown,
-                            .kind = FailureKind::kInvalidReply};
+  const TargetAttemptFailure lost{.outcome = RunOutcome::kUnknown,
+                                  .kind = FailureKind::kInvalidReply};
   const auto retry =
       Sends(run.OnFailure(sends[0].attempt, lost, fixture.At(14)));
   cr_assert_eq(retry.size(), 1);
@@ -112,8 +112,8 @@
   const auto sends = Sends(run.Start(fixture.At(0)));
   run.OnReply(sends[1].attempt, fixture.Reply("b"), fixture.At(9));
   const auto hedge = Sends(run.OnTimer(fixture.At(12)));
-  const AttemptFailure lost{.outcome = RunOutcome::kUnknown,
-                            .kind = FailureKind::kConnection};
+  const TargetAttemptFailure lost{.outcome = RunOutcome::kUnknown,
+                                  .kind = FailureKind::kConnection};
   cr_assert(run.OnFailure(sends[0].attempt, lost, fixture.At(13)).empty());
   cr_assert(
       Answer(run.OnReply(hedge[0].attempt, fixture.Reply("a"), fixture.At(14)))
@@ -139,7 +139,7 @@
   // Guards against sending each request twice when all targets become slow.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
-  fixture.state.hedges.SetSuspended(true);
+  fixture.state.hedge_budget.SetSuspended(true);
   auto run = fixture.MakeRun();
   run.Start(fixture.At(0));
   cr_assert(run.OnTimer(fixture.At(12)).empty());
@@ -148,8 +148,8 @@
 Test(QueryHedge, AVerySlowAttemptUsesTheReservedHalfOfTheBudget) {
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
-  fixture.state.hedges = TokenBudget({.share = 0.0, .burst = 2});
-  fixture.state.hedges.TryTake();
+  fixture.state.hedge_budget = TokenBudget({.share = 0.0, .burst = 2});
+  fixture.state.hedge_budget.TryTake();
   auto run = fixture.MakeRun();
   run.Start(fixture.At(0));
   cr_assert(run.OnTimer(fixture.At(12)).empty());
@@ -178,7 +178,7 @@
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   for (int query = 0; query < 50; ++query) {
-    fixture.state.hedges = TokenBudget({.share = 1.0});
+    fixture.state.hedge_budget = TokenBudget({.share = 1.0});
     auto run = fixture.MakeRun();
     const auto sends = Sends(run.Start(fixture.At(0)));
     run.OnReply(sends[1].attempt, fixture.Reply("b"), fixture.At(9));
--- a/knapweedroad/query/query_history_test.cc
+++ b/knapweedroad/query/query_history_test.cc
@@ -128,7 +128,7 @@
             now));
       } else if (event == 1) {
         this->ended_ids.insert(attempt);
-        const AttemptFailure failure{
+        const TargetAttemptFailure failure{
             .outcome = static_cast<RunOutcome>(this->Draw(3)),
             .kind = static_cast<FailureKind>(this->Draw(7))};
         this->RecordActions(this->run.OnFailure(attempt, failure, now));
--- a/knapweedroad/query/front_gate.h
+++ b/knapweedroad/query/query_limiter.h
@@ -1,25 +1,26 @@
 // Overload control at a coordinator's door: whole queries are admitted or
 // refused at once, before any sub-request is sent.
 //
-//   FrontGate gate({.front = front});
-//   if (auto refusal = gate.Arrive({tenant, "normal", now + 500ms}, now)) {
+//   QueryLimiter limiter({.front = front});
+//   if (auto refusal = limiter.TryAdmit({tenant, "normal", now + 500ms}, now))
+//   {
 //     return *refusal;
 //   }
 //   ... a QueryRun ...
-//   gate.Finish({.tenant = tenant, .class_name = "normal", ...}, now);
-//   state.SetOverloaded(gate.Overloaded(now));
+//   limiter.Finish({.tenant = tenant, .class_name = "normal", ...}, now);
+//   state.SetOverloaded(limiter.IsOverloaded(now));
 //
-// Sheds whole queries. If targets shed sub-requests on their own, a query of 10
-// services that each refuse half comes through whole once in a thousand, and
-// the work on the others is wasted.
+// Sheds whole queries. If targets shed sub-requests on their own_index, a query
+// of 10 services that each refuse half comes through whole once in a thousand,
+// and the work on the others is wasted.
 //
 // The limit on queries in flight grows by about one in the time of a query
 // while it is used and queries are quick, and shrinks by a fifth when targets
 // refuse or queries take much of their time. Tenants and classes under their
 // fair share of what is admitted may go above it by half.
 
-#ifndef KNAPWEEDROAD_QUERY_FRONT_GATE_H_
-#define KNAPWEEDROAD_QUERY_FRONT_GATE_H_
+#ifndef KNAPWEEDROAD_QUERY_QUERY_LIMITER_H_
+#define KNAPWEEDROAD_QUERY_QUERY_LIMITER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -36,17 +37,17 @@
 
 namespace knapweedroad {
 
-struct FrontGateOptions {
-  // It outlives the gate.
+struct QueryLimiterOptions {
+  // It outlives the limiter.
   const FrontConfig& front;
-  double first_limit = 8.0;
-  double lowest_limit = 1.0;
-  double highest_limit = 10'000.0;
+  double initial_limit = 8.0;
+  double min_limit = 1.0;
+  double max_limit = 10'000.0;
   // A query that takes a greater share of its time than this waited too long.
-  double slow_share = 0.5;
+  double slow_fraction = 0.5;
 };
 
-struct GateRequest {
+struct QueryAdmissionRequest {
   // One of the front's.
   TenantId tenant;
   std::string class_name;
@@ -54,34 +55,35 @@
 };
 
 // An admitted query that has ended.
-struct GateSample {
+struct FinishedQuery {
   TenantId tenant;
   std::string class_name;
   TimePoint start;
   TimePoint deadline;
   // QueryRunStats::refused.
-  uint32_t sub_refused = 0;
+  uint32_t refused_sub_requests = 0;
   // The caller left, so that its duration says nothing.
   bool abandoned = false;
 };
 
-class FrontGate {
+class QueryLimiter {
  public:
-  explicit FrontGate(FrontGateOptions options);
+  explicit QueryLimiter(QueryLimiterOptions options);
 
   // Nothing: it is admitted, and Finish() is called once when it has ended.
   // Else 429 where the tenant or class is over its share, 503 where the
   // front is full; neither ran.
-  std::optional<QueryRefusal> Arrive(const GateRequest& request, TimePoint now);
+  std::optional<QueryRefusal> TryAdmit(const QueryAdmissionRequest& request,
+                                       TimePoint now);
 
-  void Finish(const GateSample& sample, TimePoint now);
+  void Finish(const FinishedQuery& query, TimePoint now);
 
   // Whether something was refused here in the last second: no hedges and no
   // retries then.
-  bool Overloaded(TimePoint now) const;
+  bool IsOverloaded(TimePoint now) const;
 
   double limit() const { return this->in_flight_limit; }
-  uint32_t in_flight() const { return this->running; }
+  uint32_t in_flight() const { return this->in_flight_queries; }
 
  private:
   // Classes that the configuration doesn't name share one flow, so that a
@@ -98,28 +100,30 @@
     double admitted = 0.0;
   };
 
-  FlowKey KeyOf(const TenantId& tenant, const std::string& class_name) const;
-  Flow& FlowOf(const FlowKey& key);
+  FlowKey FlowKeyFor(const TenantId& tenant,
+                     const std::string& class_name) const;
+  Flow& FindOrAddFlow(const FlowKey& key);
   double TenantWeight(const TenantId& tenant) const;
-  void Decay(TimePoint now);
-  double LimitUnderShare() const;
-  bool OverShare(const FlowKey& key) const;
-  bool TooLate(const GateRequest& request, TimePoint now) const;
+  void DecayCounts(TimePoint now);
+  double LimitForFlowsUnderShare() const;
+  bool IsOverFairShare(const FlowKey& key) const;
+  bool CannotMeetDeadline(const QueryAdmissionRequest& request,
+                          TimePoint now) const;
   QueryRefusal Refuse(int status, const char* detail, TimePoint now);
-  void Shrink(TimePoint now, Duration took);
+  void ReduceLimit(TimePoint now, Duration duration);
 
-  FrontGateOptions options;
+  QueryLimiterOptions options;
   double in_flight_limit;
-  uint32_t running = 0;
+  uint32_t in_flight_queries = 0;
   std::map<FlowKey, Flow> flows;
-  TimePoint decayed_at;
-  std::optional<TimePoint> refused_at;
-  std::optional<TimePoint> shrunk_at;
-  // Share of late queries that were congested, forgetting.
-  double congestion = 0.0;
+  TimePoint last_decayed;
+  std::optional<TimePoint> last_refused;
+  std::optional<TimePoint> last_reduced;
+  // Share of late queries that were is_congested, forgetting.
+  double congested_fraction = 0.0;
   DecayingHistogram durations;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_QUERY_FRONT_GATE_H_
+#endif  // KNAPWEEDROAD_QUERY_QUERY_LIMITER_H_
--- a/knapweedroad/query/query_run.cc
+++ b/knapweedroad/query/query_run.cc
@@ -76,8 +76,8 @@
     } else {
       this->run_stats.wrong_snapshots += 1;
       service.snapshot_missing = true;
-      const AttemptFailure failure{.outcome = RunOutcome::kRun,
-                                   .kind = FailureKind::kInvalidReply};
+      const TargetAttemptFailure failure{.outcome = RunOutcome::kRun,
+                                         .kind = FailureKind::kInvalidReply};
       service.call.OnFailed(this->Context(), *taken, failure, now, actions);
     }
     this->FinishOrRestart(now, actions);
@@ -87,7 +87,7 @@
 }
 
 QueryActions QueryRun::OnFailure(const AttemptId& attempt,
-                                 const AttemptFailure& failure,
+                                 const TargetAttemptFailure& failure,
                                  TimePoint now) {
   QueryActions actions;
   for (ServiceProgress& service : this->services) {
--- a/knapweedroad/query/query_run.h
+++ b/knapweedroad/query/query_run.h
@@ -24,12 +24,12 @@
 #include "knapweedroad/base/snapshot_id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
-#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/query_action.h"
 #include "knapweedroad/query/search_reply.h"
 #include "knapweedroad/query/service_call.h"
 #include "knapweedroad/query/snapshot_choice.h"
+#include "knapweedroad/query/target_attempt_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -68,7 +68,7 @@
                        SearchReply reply,
                        TimePoint now);
   QueryActions OnFailure(const AttemptId& attempt,
-                         const AttemptFailure& failure,
+                         const TargetAttemptFailure& failure,
                          TimePoint now);
 
   // Sends due hedges and retries, and finishes the query when its time is up.
--- a/knapweedroad/query/query_run_test.cc
+++ b/knapweedroad/query/query_run_test.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr AttemptFailure kShedFailure{.outcome = RunOutcome::kNotRun,
-                                      .kind = FailureKind::kShed,
-                                      .retry_after = milliseconds(300)};
-constexpr AttemptFailure kUnknownFailure{.outcome = RunOutcome::kUnknown,
-                                         .kind = FailureKind::kTimeout};
+constexpr TargetAttemptFailure kShedFailure{.outcome = RunOutcome::kNotRun,
+                                            .kind = FailureKind::kShed,
+                                            .retry_after = milliseconds(300)};
+constexpr TargetAttemptFailure kUnknownFailure{.outcome = RunOutcome::kUnknown,
+                                               .kind = FailureKind::kTimeout};
 
 Test(QueryRun, AnswersAsSoonAsAllServicesHaveReplied) {
   QueryTestFixture fixture;
@@ -58,8 +58,8 @@
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   run.OnReply(sends[1].attempt, fixture.Reply("b"), fixture.At(2));
-  const AttemptFailure broken{.outcome = RunOutcome::kRun,
-                              .kind = FailureKind::kInvalidReply};
+  const TargetAttemptFailure broken{.outcome = RunOutcome::kRun,
+                                    .kind = FailureKind::kInvalidReply};
   const auto again =
       Sends(run.OnFailure(sends[0].attempt, broken, fixture.At(3)));
   cr_assert_eq(again.size(), 1);
@@ -113,7 +113,7 @@
 
 Test(QueryRun, ARefusedAttemptGoesToAnotherReplicaAtOnce) {
   QueryTestFixture fixture;
-  fixture.state.retries.SetSuspended(true);
+  fixture.state.retry_budget.SetSuspended(true);
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   const auto again =
@@ -143,7 +143,7 @@
   QueryTestFixture fixture;
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
-  AttemptFailure shortly = kShedFailure;
+  TargetAttemptFailure shortly = kShedFailure;
   shortly.retry_after = milliseconds(20);
   const auto second =
       Sends(run.OnFailure(sends[0].attempt, shortly, fixture.At(1)));
@@ -157,7 +157,7 @@
   // each timeout sends one more request.
   QueryTestFixture fixture;
   fixture.front.minimum_coverage = 0.0;
-  fixture.state.retries.SetSuspended(true);
+  fixture.state.retry_budget.SetSuspended(true);
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   cr_assert(
@@ -184,8 +184,8 @@
   fixture.targets[ServiceId("s1")].pop_back();
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
-  const AttemptFailure silent{.outcome = RunOutcome::kUnknown,
-                              .kind = FailureKind::kConnection};
+  const TargetAttemptFailure silent{.outcome = RunOutcome::kUnknown,
+                                    .kind = FailureKind::kConnection};
   run.OnFailure(sends[0].attempt, silent, fixture.At(5));
   const auto again = Sends(run.OnTimer(*run.NextWake()));
   cr_assert_eq(again.size(), 1);
--- a/knapweedroad/query/query_snapshot_test.cc
+++ b/knapweedroad/query/query_snapshot_test.cc
@@ -9,8 +9,8 @@
 namespace knapweedroad {
 namespace {
 
-constexpr AttemptFailure kNotHeld{.outcome = RunOutcome::kNotRun,
-                                  .kind = FailureKind::kNoSnapshot};
+constexpr TargetAttemptFailure kNotHeld{.outcome = RunOutcome::kNotRun,
+                                        .kind = FailureKind::kNoSnapshot};
 
 void RollOut(QueryTestFixture& fixture) {
   for (auto& [service, candidates] : fixture.targets) {
@@ -70,8 +70,8 @@
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   RollOut(fixture);
-  const AttemptFailure crashed{.outcome = RunOutcome::kUnknown,
-                               .kind = FailureKind::kInvalidReply};
+  const TargetAttemptFailure crashed{.outcome = RunOutcome::kUnknown,
+                                     .kind = FailureKind::kInvalidReply};
   const auto restart =
       Sends(run.OnFailure(sends[0].attempt, crashed, fixture.At(3)));
   cr_assert_eq(restart.size(), 2);
--- a/knapweedroad/query/record_run.cc
+++ b/knapweedroad/query/record_run.cc
@@ -17,7 +17,7 @@
   if (now < this->answer_by) {
     this->call.Start(this->Context(), now, step.actions);
   }
-  this->Settle(now, step);
+  this->RefuseIfFailedOrLate(now, step);
   return step;
 }
 
@@ -34,27 +34,27 @@
 }
 
 RecordStep RecordRun::OnFailure(const AttemptId& attempt,
-                                const AttemptFailure& failure,
+                                const TargetAttemptFailure& failure,
                                 TimePoint now) {
   RecordStep step;
   if (const auto taken = this->call.TakeAttempt(attempt)) {
     this->any_run = this->any_run || failure.outcome == RunOutcome::kRun;
     this->any_unknown =
         this->any_unknown || failure.outcome == RunOutcome::kUnknown;
-    this->any_broken =
-        this->any_broken || failure.kind == FailureKind::kInvalidReply;
+    this->any_invalid_reply =
+        this->any_invalid_reply || failure.kind == FailureKind::kInvalidReply;
     this->call.OnFailed(this->Context(), *taken, failure, now, step.actions);
-    this->Settle(now, step);
+    this->RefuseIfFailedOrLate(now, step);
   }
   return step;
 }
 
 RecordStep RecordRun::OnTimer(TimePoint now) {
   RecordStep step;
-  this->Settle(now, step);
+  this->RefuseIfFailedOrLate(now, step);
   if (!this->is_finished) {
     this->call.OnTimer(this->Context(), now, step.actions);
-    this->Settle(now, step);
+    this->RefuseIfFailedOrLate(now, step);
   }
   return step;
 }
@@ -85,9 +85,9 @@
           .stats = this->run_stats};
 }
 
-void RecordRun::Settle(TimePoint now, RecordStep& step) {
-  const bool given_up = this->call.state() == ServiceCall::State::kFailed;
-  if (this->is_finished || (now < this->answer_by && !given_up)) {
+void RecordRun::RefuseIfFailedOrLate(TimePoint now, RecordStep& step) {
+  const bool call_failed = this->call.state() == ServiceCall::State::kFailed;
+  if (this->is_finished || (now < this->answer_by && !call_failed)) {
     return;
   }
   this->any_unknown = this->any_unknown || this->call.has_in_flight();
@@ -106,7 +106,7 @@
   if (now >= this->answer_by) {
     refusal.status = 504;
     refusal.title = "Deadline passed";
-  } else if (this->any_broken) {
+  } else if (this->any_invalid_reply) {
     refusal.status = 502;
     refusal.title = "Broken answer";
     refusal.detail = "a target's answer could not be used";
--- a/knapweedroad/query/record_run.h
+++ b/knapweedroad/query/record_run.h
@@ -14,11 +14,11 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/config/front_config.h"
-#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/query_action.h"
 #include "knapweedroad/query/record_reply.h"
 #include "knapweedroad/query/service_call.h"
+#include "knapweedroad/query/target_attempt_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -55,7 +55,7 @@
                      RecordReply reply,
                      TimePoint now);
   RecordStep OnFailure(const AttemptId& attempt,
-                       const AttemptFailure& failure,
+                       const TargetAttemptFailure& failure,
                        TimePoint now);
   RecordStep OnTimer(TimePoint now);
   RecordStep Abandon(TimePoint now);
@@ -67,7 +67,7 @@
  private:
   CallContext Context();
   // Refuses where nothing can come of it any more.
-  void Settle(TimePoint now, RecordStep& step);
+  void RefuseIfFailedOrLate(TimePoint now, RecordStep& step);
   QueryRefusal MakeRefusal(TimePoint now) const;
 
   RecordRunOptions options;
@@ -76,7 +76,7 @@
   bool is_finished = false;
   bool any_run = false;
   bool any_unknown = false;
-  bool any_broken = false;
+  bool any_invalid_reply = false;
   QueryRunStats run_stats;
 };
 
--- a/knapweedroad/query/record_run_test.cc
+++ b/knapweedroad/query/record_run_test.cc
@@ -12,29 +12,30 @@
 
 using std::chrono::milliseconds;
 
-constexpr AttemptFailure kShedFailure{.outcome = RunOutcome::kNotRun,
-                                      .kind = FailureKind::kShed,
-                                      .retry_after = milliseconds(300)};
-constexpr AttemptFailure kLostFailure{.outcome = RunOutcome::kUnknown,
-                                      .kind = FailureKind::kConnection};
-
-RecordRun MakeRecordRun(QueryTestFixture& world) {
-  return RecordRun({.front = world.front,
+constexpr TargetAttemptFailure kShedFailure{.outcome = RunOutcome::kNotRun,
+                                            .kind = FailureKind::kShed,
+                                            .retry_after = milliseconds(300)};
+constexpr TargetAttemptFailure kConnectionFailure{
+    .outcome = RunOutcome::kUnknown,
+    .kind = FailureKind::kConnection};
+
+RecordRun MakeRecordRun(QueryTestFixture& fixture) {
+  return RecordRun({.front = fixture.front,
                     .service = ServiceId("s1"),
                     .own_zone = ZoneId("here"),
-                    .start = world.At(0),
-                    .deadline = world.At(100),
-                    .state = world.state,
-                    .hooks = world.Hooks()});
+                    .start = fixture.At(0),
+                    .deadline = fixture.At(100),
+                    .state = fixture.state,
+                    .hooks = fixture.Hooks()});
 }
 
-LookupRun MakeLookupRun(QueryTestFixture& world) {
-  return LookupRun({.front = world.front,
+LookupRun MakeLookupRun(QueryTestFixture& fixture) {
+  return LookupRun({.front = fixture.front,
                     .service = ServiceId("s1"),
                     .own_zone = ZoneId("here"),
-                    .start = world.At(0),
-                    .deadline = world.At(100),
-                    .hooks = world.Hooks()});
+                    .start = fixture.At(0),
+                    .deadline = fixture.At(100),
+                    .hooks = fixture.Hooks()});
 }
 
 RunOutcome OutcomeOf(const RecordStep& step) {
@@ -42,34 +43,37 @@
 }
 
 Test(RecordRun, IsHedgedAndTheFirstAnswerWins) {
-  QueryTestFixture world;
-  world.RecordLatencies(milliseconds(10));
-  auto run = MakeRecordRun(world);
-  const auto first = Sends(run.Start(world.At(0)).actions);
+  QueryTestFixture fixture;
+  fixture.RecordLatencies(milliseconds(10));
+  auto run = MakeRecordRun(fixture);
+  const auto first = Sends(run.Start(fixture.At(0)).actions);
   const auto hedge = Sends(run.OnTimer(*run.NextWake()).actions);
   cr_assert_eq(hedge.size(), 1);
-  const auto last = run.OnReply(hedge[0].attempt, {.body = "r"}, world.At(20));
+  const auto last =
+      run.OnReply(hedge[0].attempt, {.body = "r"}, fixture.At(20));
   cr_assert_eq(Cancels(last.actions)[0].attempt, first[0].attempt);
   cr_assert_eq(std::get<RecordReply>(*last.result).body, "r");
-  cr_assert(!run.OnReply(first[0].attempt, {.body = "s"}, world.At(21)).result);
+  cr_assert(
+      !run.OnReply(first[0].attempt, {.body = "s"}, fixture.At(21)).result);
 }
 
 Test(RecordRun, RefusesAtOnceWhenAllReplicasHave) {
-  QueryTestFixture world;
-  auto run = MakeRecordRun(world);
-  const auto first = Sends(run.Start(world.At(0)).actions);
-  const auto second =
-      Sends(run.OnFailure(first[0].attempt, kShedFailure, world.At(1)).actions);
-  const auto last = run.OnFailure(second[0].attempt, kShedFailure, world.At(2));
+  QueryTestFixture fixture;
+  auto run = MakeRecordRun(fixture);
+  const auto first = Sends(run.Start(fixture.At(0)).actions);
+  const auto second = Sends(
+      run.OnFailure(first[0].attempt, kShedFailure, fixture.At(1)).actions);
+  const auto last =
+      run.OnFailure(second[0].attempt, kShedFailure, fixture.At(2));
   cr_assert(OutcomeOf(last) == RunOutcome::kNotRun);
   const auto& refusal = std::get<QueryRefusal>(*last.result);
   cr_assert(refusal.retry_after == milliseconds(300));
 }
 
 Test(RecordRun, AnAttemptCutOffByTheDeadlineMayHaveRun) {
-  QueryTestFixture world;
-  auto run = MakeRecordRun(world);
-  run.Start(world.At(0));
+  QueryTestFixture fixture;
+  auto run = MakeRecordRun(fixture);
+  run.Start(fixture.At(0));
   const auto last = run.OnTimer(*run.NextWake());
   cr_assert_eq(std::get<QueryRefusal>(*last.result).status, 504);
   cr_assert(OutcomeOf(last) == RunOutcome::kUnknown);
@@ -78,54 +82,58 @@
 
 Test(LookupRun, IsNeverHedged) {
   // Two correction letters: a slow lookup is sent to a second searcher too.
-  QueryTestFixture world;
-  world.RecordLatencies(milliseconds(10));
-  auto run = MakeLookupRun(world);
-  run.Start(world.At(0));
-  cr_assert(run.OnTimer(world.At(50)).actions.empty());
-  cr_assert(*run.NextWake() == world.At(90));
+  QueryTestFixture fixture;
+  fixture.RecordLatencies(milliseconds(10));
+  auto run = MakeLookupRun(fixture);
+  run.Start(fixture.At(0));
+  cr_assert(run.OnTimer(fixture.At(50)).actions.empty());
+  cr_assert(*run.NextWake() == fixture.At(90));
 }
 
 Test(LookupRun, IsSentAgainOnlyAfterProofThatItDidNotRun) {
   // Two correction letters: the target ran the lookup, its answer was lost
   // with the connection, and the tier sends it to another one.
-  QueryTestFixture world;
-  auto run = MakeLookupRun(world);
-  const auto first = Sends(run.Start(world.At(0)).actions);
-  const auto second =
-      Sends(run.OnFailure(first[0].attempt, kShedFailure, world.At(1)).actions);
+  QueryTestFixture fixture;
+  auto run = MakeLookupRun(fixture);
+  const auto first = Sends(run.Start(fixture.At(0)).actions);
+  const auto second = Sends(
+      run.OnFailure(first[0].attempt, kShedFailure, fixture.At(1)).actions);
   cr_assert_eq(second.size(), 1);
-  const auto last = run.OnFailure(second[0].attempt, kLostFailure, world.At(2));
+  const auto last =
+      run.OnFailure(second[0].attempt, kConnectionFailure, fixture.At(2));
   cr_assert(last.actions.empty());
   cr_assert(OutcomeOf(last) == RunOutcome::kUnknown);
 }
 
 Test(LookupRun, AfterTheDeadlineItsOutcomeIsUnknown) {
   // A caller is told "not run" for a lookup whose cancel came too late.
-  QueryTestFixture world;
-  auto run = MakeLookupRun(world);
-  run.Start(world.At(0));
-  const auto last = run.OnTimer(world.At(90));
+  QueryTestFixture fixture;
+  auto run = MakeLookupRun(fixture);
+  run.Start(fixture.At(0));
+  const auto last = run.OnTimer(fixture.At(90));
   cr_assert(OutcomeOf(last) == RunOutcome::kUnknown);
 }
 
 Test(LookupRun, WhatComesLateOfAnEarlierAttemptIsIgnored) {
-  QueryTestFixture world;
-  auto run = MakeLookupRun(world);
-  const auto first = Sends(run.Start(world.At(0)).actions);
-  run.OnFailure(first[0].attempt, kShedFailure, world.At(1));
-  cr_assert(!run.OnReply(first[0].attempt, {.body = "x"}, world.At(2)).result);
-  const auto late = run.OnFailure(first[0].attempt, kShedFailure, world.At(2));
+  QueryTestFixture fixture;
+  auto run = MakeLookupRun(fixture);
+  const auto first = Sends(run.Start(fixture.At(0)).actions);
+  run.OnFailure(first[0].attempt, kShedFailure, fixture.At(1));
+  cr_assert(
+      !run.OnReply(first[0].attempt, {.body = "x"}, fixture.At(2)).result);
+  const auto late =
+      run.OnFailure(first[0].attempt, kShedFailure, fixture.At(2));
   cr_assert(late.actions.empty());
   cr_assert(!late.result);
 }
 
 Test(LookupRun, RefusedByAllItDidNotRun) {
-  QueryTestFixture world;
-  world.targets[ServiceId("s1")].pop_back();
-  auto run = MakeLookupRun(world);
-  const auto first = Sends(run.Start(world.At(0)).actions);
-  const auto last = run.OnFailure(first[0].attempt, kShedFailure, world.At(1));
+  QueryTestFixture fixture;
+  fixture.targets[ServiceId("s1")].pop_back();
+  auto run = MakeLookupRun(fixture);
+  const auto first = Sends(run.Start(fixture.At(0)).actions);
+  const auto last =
+      run.OnFailure(first[0].attempt, kShedFailure, fixture.At(1));
   cr_assert(OutcomeOf(last) == RunOutcome::kNotRun);
 }
 
--- a/knapweedroad/query/service_call.cc
+++ b/knapweedroad/query/service_call.cc
@@ -42,7 +42,7 @@
 }
 
 bool IsRefusedHedge(const InFlightAttempt& attempt,
-                    const AttemptFailure& failure) {
+                    const TargetAttemptFailure& failure) {
   return attempt.purpose == AttemptPurpose::kHedge &&
          failure.outcome == RunOutcome::kNotRun;
 }
@@ -85,7 +85,7 @@
 
 void ServiceCall::OnFailed(const CallContext& context,
                            const InFlightAttempt& attempt,
-                           const AttemptFailure& failure,
+                           const TargetAttemptFailure& failure,
                            TimePoint now,
                            QueryActions& actions) {
   this->RecordRefusal(context, attempt, failure);
@@ -127,11 +127,11 @@
 
 void ServiceCall::RecordRefusal(const CallContext& context,
                                 const InFlightAttempt& attempt,
-                                const AttemptFailure& failure) {
+                                const TargetAttemptFailure& failure) {
   // A hedge that found no free slot used no capacity and does not indicate
   // overload.
   if (IsRefusedHedge(attempt, failure)) {
-    context.state.hedges.Refund();
+    context.state.hedge_budget.Refund();
     context.stats.hedges -= 1;
     return;
   }
@@ -211,8 +211,8 @@
   this->retry_at.reset();
   if (purpose == AttemptPurpose::kFirst) {
     context.stats.first_attempts += 1;
-    context.state.hedges.OnFirstAttempt();
-    context.state.retries.OnFirstAttempt();
+    context.state.hedge_budget.OnFirstAttempt();
+    context.state.retry_budget.OnFirstAttempt();
   }
   if (purpose != AttemptPurpose::kHedge) {
     this->ScheduleHedge(context, now);
@@ -242,7 +242,7 @@
   const InFlightAttempt& oldest = this->in_flight.front();
   const auto hedge_delay = HedgeDelay(context, this->service_id, oldest.zone);
   const bool urgent = hedge_delay && now - oldest.sent >= *hedge_delay * 3 / 2;
-  TokenBudget& budget = context.state.hedges;
+  TokenBudget& budget = context.state.hedge_budget;
   if (budget.CanTake(urgent) &&
       this->TrySend(context, AttemptPurpose::kHedge, now, actions)) {
     budget.TryTake();
@@ -260,7 +260,7 @@
                            QueryActions& actions) {
   this->retry_at.reset();
   this->tried.clear();
-  TokenBudget& budget = context.state.retries;
+  TokenBudget& budget = context.state.retry_budget;
   if (budget.CanTake() &&
       this->TrySend(context, AttemptPurpose::kRetry, now, actions)) {
     budget.TryTake();
@@ -281,7 +281,7 @@
                                        RunOutcome outcome,
                                        TimePoint now,
                                        QueryActions& actions) {
-  TokenBudget& budget = context.state.retries;
+  TokenBudget& budget = context.state.retry_budget;
   // The request did not run, so trying another target adds no load and costs no
   // budget. Each target is tried once per round, so refusals by all of them do
   // not cause a loop.
@@ -304,7 +304,7 @@
   this->failed_rounds += 1;
   const bool cannot_retry = !this->shortest_retry_after ||
                             this->failed_rounds >= kMaxFailedRounds ||
-                            context.state.retries.suspended();
+                            context.state.retry_budget.suspended();
   if (cannot_retry) {
     this->Fail();
     return;
--- a/knapweedroad/query/service_call.h
+++ b/knapweedroad/query/service_call.h
@@ -16,9 +16,9 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/snapshot_id.h"
 #include "knapweedroad/base/time.h"
-#include "knapweedroad/query/attempt_failure.h"
 #include "knapweedroad/query/call_context.h"
 #include "knapweedroad/query/query_action.h"
+#include "knapweedroad/query/target_attempt_failure.h"
 #include "knapweedroad/target/attempt_id.h"
 
 namespace knapweedroad {
@@ -63,7 +63,7 @@
   // another target.
   void OnFailed(const CallContext& context,
                 const InFlightAttempt& attempt,
-                const AttemptFailure& failure,
+                const TargetAttemptFailure& failure,
                 TimePoint now,
                 QueryActions& actions);
 
@@ -95,7 +95,7 @@
                QueryActions& actions);
   void RecordRefusal(const CallContext& context,
                      const InFlightAttempt& attempt,
-                     const AttemptFailure& failure);
+                     const TargetAttemptFailure& failure);
   void ScheduleHedge(const CallContext& context, TimePoint now);
   void TryHedge(const CallContext& context,
                 TimePoint now,
--- a/knapweedroad/query/attempt_failure.h
+++ b/knapweedroad/query/target_attempt_failure.h
@@ -1,7 +1,7 @@
 // The reason why one attempt returned no usable reply.
 
-#ifndef KNAPWEEDROAD_QUERY_ATTEMPT_FAILURE_H_
-#define KNAPWEEDROAD_QUERY_ATTEMPT_FAILURE_H_
+#ifndef KNAPWEEDROAD_QUERY_TARGET_ATTEMPT_FAILURE_H_
+#define KNAPWEEDROAD_QUERY_TARGET_ATTEMPT_FAILURE_H_
 
 #include <cstdint>
 #include <optional>
@@ -30,7 +30,7 @@
   kInvalidReply,
 };
 
-struct AttemptFailure {
+struct TargetAttemptFailure {
   // `kNotRun` only if it is certain that the target did not run the request.
   RunOutcome outcome = RunOutcome::kUnknown;
   FailureKind kind = FailureKind::kConnection;
@@ -41,4 +41,4 @@
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_QUERY_ATTEMPT_FAILURE_H_
+#endif  // KNAPWEEDROAD_QUERY_TARGET_ATTEMPT_FAILURE_H_
