--- a/bench/entry/entry_cost.cc
+++ b/bench/entry/entry_cost.cc
@@ -122,7 +122,7 @@
                  .limits = [] { return CallerLimits(); }}) {
     this->balancer.SetRouting(this->parts.table);
     for (size_t i = 0; i < shards * kTargetsAShard; ++i) {
-      this->balancer.Learn(
+      this->balancer.UpdateTarget(
           {.id = TargetId("i-" + std::to_string(1'000'000 + i)),
            .service = ShardName(i / kTargetsAShard),
            .zone = ZoneId(i % kTargetsAShard == 0 ? "a" : "b"),
--- a/knapweedroad/edge/entry_host.cc
+++ b/knapweedroad/edge/entry_host.cc
@@ -63,15 +63,15 @@
     this->metrics.SetGauge("control_hosts_followed",
                            static_cast<double>(this->follower->followed()));
   }
-  this->metrics.SetGauge("entry_hosts",
-                         static_cast<double>(this->balancer.entry_hosts()));
+  this->metrics.SetGauge(
+      "entry_hosts", static_cast<double>(this->balancer.entry_host_count()));
   return this->metrics.Print();
 }
 
 void EntryHost::State::OnNews(const HostId& from, const WatchReply& reply) {
   const TimePoint now = Runtime::Now();
   if (reply.zone != this->options.settings.zone) {
-    this->balancer.OnOutsideAnswer(now);
+    this->balancer.OnOtherZoneAnswered(now);
   } else {
     this->balancer.reachability().OnControlReport(reply.is_cut_off, now);
   }
@@ -82,7 +82,7 @@
           now)) {
     this->UseEntryHosts(now);
   }
-  this->balancer.LearnOutliers(
+  this->balancer.UpdateOutliers(
       from,
       reply.has_outliers ? std::optional(reply.outliers.put) : std::nullopt,
       now);
@@ -156,14 +156,14 @@
   this->links.Sweep(now);
   this->routing.Adopt(now);
   this->WatchReachability(now);
-  this->balancer.ForgetOldOutliers(now);
+  this->balancer.ExpireOutliers(now);
   if (this->entry_hosts.ExpireLists(now)) {
     this->UseEntryHosts(now);
   }
-  this->balancer.ForgetSilent(now);
+  this->balancer.RemoveSilentTargets(now);
   this->rollouts->ApplySplits();
   if (!stood_still) {
-    this->balancer.EjectSilent(now);
+    this->balancer.EjectUnresponsive(now);
     this->prober->Probe(now);
   }
   if (++this->ticks % kSweepTicks == 0) {
--- a/knapweedroad/edge/entry_host_wiring.cc
+++ b/knapweedroad/edge/entry_host_wiring.cc
@@ -24,7 +24,7 @@
       .Add("target", health.target)
       .Add("health", health.health)
       .Add("cause", health.cause)
-      .Add("span_ms", std::chrono::floor<milliseconds>(health.span).count())
+      .Add("span_ms", std::chrono::floor<milliseconds>(health.duration).count())
       .Info();
 }
 
@@ -46,14 +46,14 @@
                 .seed = RandomSeed(),
                 .started = Runtime::Now(),
                 .on_health_change = LogHealthChange,
-                .on_outcomes =
-                    [this](const TargetOutcomes& seen, bool is_bad) {
+                .on_outcome =
+                    [this](const TargetOutcomes& seen, bool is_failed_or_slow) {
                       this->outcomes.Count(seen);
-                      if (is_bad && this->follower != nullptr) {
+                      if (is_failed_or_slow && this->follower != nullptr) {
                         this->follower->ReportSoon();
                       }
                     },
-                .is_connected =
+                .has_idle_connection =
                     [this](const TargetId& target) {
                       return this->links.has_idle(target);
                     }}),
@@ -94,7 +94,7 @@
                    },
                .on_zones_out =
                    [this](const std::vector<ZoneId>& zones) {
-                     this->balancer.SetZonesOut(zones);
+                     this->balancer.SetEvacuatedZones(zones);
                    },
                .on_rollouts =
                    [this](const std::vector<RolloutRecord>& agreed) {
--- a/knapweedroad/edge/entry_request.cc
+++ b/knapweedroad/edge/entry_request.cc
@@ -151,7 +151,7 @@
   this->hooks.spend_extra_attempt = [this](const ServiceId& service,
                                            bool is_hedge) {
     const TimePoint now = Runtime::Now();
-    const size_t hosts = this->parts.balancer.entry_hosts();
+    const size_t hosts = this->parts.balancer.entry_host_count();
     RetryBudget& budget = this->parts.BudgetOf(service);
     const bool sent = is_hedge ? budget.SpendHedge(hosts, now)
                                : budget.SpendRetry(hosts, now);
--- a/knapweedroad/edge/gather_relay.cc
+++ b/knapweedroad/edge/gather_relay.cc
@@ -96,7 +96,7 @@
   const TargetId& target = call.targets[index];
   LoadBalancer& balancer = this->options.balancer;
   const TimePoint now = Runtime::Now();
-  const TargetRecord* const record = balancer.FindFree(target, now);
+  const TargetRecord* const record = balancer.FindAvailable(target, now);
   if (record == nullptr) {
     run->ended.push_back(
         {.target = static_cast<uint16_t>(index), .kind = kPartNotTried});
@@ -119,7 +119,7 @@
                },
            .request_id = run->of->request.id,
            .wants_header = false,
-           .keep_connection = !balancer.GivesBackConnections(now),
+           .keep_connection = !balancer.ShouldCloseConnections(now),
            .deadline = run->deadline},
           [this, run, index](TargetReply reply) {
             this->OnReply(run, index, std::move(reply));
--- a/knapweedroad/edge/gather_relay_test.cc
+++ b/knapweedroad/edge/gather_relay_test.cc
@@ -67,14 +67,15 @@
     for (size_t i = 0; i < 3; ++i) {
       const std::string record(16, static_cast<char>('a' + i));
       this->targets.push_back(std::make_unique<Target>(this->runtime, record));
-      this->balancer.Learn({.id = TargetId("t" + std::to_string(i)),
-                            .service = kService,
-                            .zone = ZoneId("z"),
-                            .address = {"127.0.0.1", this->targets[i]->port},
-                            .slots = 4,
-                            .started_ms = 1,
-                            .sequence = 1},
-                           Runtime::Now());
+      this->balancer.UpdateTarget(
+          {.id = TargetId("t" + std::to_string(i)),
+           .service = kService,
+           .zone = ZoneId("z"),
+           .address = {"127.0.0.1", this->targets[i]->port},
+           .slots = 4,
+           .started_ms = 1,
+           .sequence = 1},
+          Runtime::Now());
     }
   }
 
--- a/knapweedroad/edge/request_attempts.cc
+++ b/knapweedroad/edge/request_attempts.cc
@@ -101,7 +101,7 @@
        .wants_header = !route.is_scatter,
        .max_idle = may_run_again ? Duration::max() : kFreshIdle,
        .settles = !may_run_again,
-       .keep_connection = !balancer.GivesBackConnections(now),
+       .keep_connection = !balancer.ShouldCloseConnections(now),
        .deadline = this->options.deadline},
       std::move(on_reply));
 }
--- a/knapweedroad/edge/target_news.cc
+++ b/knapweedroad/edge/target_news.cc
@@ -47,7 +47,7 @@
   }
   for (const TargetRecord& record : reply.targets) {
     const bool is_change = IsChange(balancer.Find(record.id), record);
-    balancer.Learn(record, now);
+    balancer.UpdateTarget(record, now);
     if (is_change && !is_bulk) {
       LogTarget(from, record);
     }
--- a/knapweedroad/edge/target_outcome.cc
+++ b/knapweedroad/edge/target_outcome.cc
@@ -15,7 +15,7 @@
                           TimePoint now) {
   switch (JudgeAnswer(reply, is_scatter)) {
     case AnswerVerdict::kOtherTarget:
-      balancer.OnMisdirected(target, now);
+      balancer.OnOtherTargetAnswered(target, now);
       return {.outcome = AttemptOutcome::kDeclined,
               .word = "other_target",
               .is_other_target = true};
--- a/knapweedroad/edge/target_prober.cc
+++ b/knapweedroad/edge/target_prober.cc
@@ -51,13 +51,13 @@
   const bool is_reachable = reply.kind == ReplyKind::kAnswered;
   const ProbeResult result{
       .is_reachable = is_reachable,
-      .is_unclear = reply.kind == ReplyKind::kBroken ||
-                    reply.kind == ReplyKind::kRejected,
+      .is_inconclusive = reply.kind == ReplyKind::kBroken ||
+                         reply.kind == ReplyKind::kRejected,
       .is_other_target =
           is_reachable && !reply.target.empty() && reply.target != target.str(),
       .is_healthy = is_reachable && reply.answer.status == kOk,
       .cold_left = reply.cold_left.value_or(Duration::zero())};
-  this->balancer.OnProbe(target, result, Runtime::Now());
+  this->balancer.OnProbeResult(target, result, Runtime::Now());
   LogLine("target_probed")
       .Add("target", target)
       .Add("end", ToString(reply.kind))
--- a/knapweedroad/edge/unserved_services.cc
+++ b/knapweedroad/edge/unserved_services.cc
@@ -23,13 +23,13 @@
     if (++named > kMostNamed) {
       return text + "...";
     }
-    const ServiceCount count = balancer.Count(service, now);
-    text += service.str() + "(leaving:" + std::to_string(count.leaving) +
-            ",out:" + std::to_string(count.out) +
-            ",silent:" + std::to_string(count.silent) +
-            ",ejected:" + std::to_string(count.ejected) +
-            ",cold:" + std::to_string(count.cold) +
-            ",usable:" + std::to_string(count.usable) + ") ";
+    const TargetCounts counts = balancer.CountTargets(service, now);
+    text += service.str() + "(leaving:" + std::to_string(counts.leaving) +
+            ",out:" + std::to_string(counts.evacuated) +
+            ",silent:" + std::to_string(counts.silent) +
+            ",ejected:" + std::to_string(counts.ejected) +
+            ",cold:" + std::to_string(counts.cold) +
+            ",usable:" + std::to_string(counts.usable) + ") ";
   }
   return text;
 }
--- a/knapweedroad/routing/balanced_target.h
+++ b/knapweedroad/routing/balanced_target.h
@@ -22,15 +22,15 @@
 struct BalancedService {
   std::vector<BalancedTarget*> targets;
   // Smoothed over its targets, in ns.
-  double latency = 0;
+  double latency_ns = 0;
   // As configured, for each target, from all hosts together; zero: unknown.
   size_t max_connections = 0;
   // Requests a second that a cold target bears.
   double cold_rate = 0;
   // Absent: nobody has ordered a roll-out, and `version` gets all.
   std::optional<VersionSplit> split;
-  VersionId version;
-  TimePoint version_chosen;
+  VersionId version_in_use;
+  TimePoint version_chosen_at;
 };
 
 struct BalancedTarget {
@@ -42,25 +42,25 @@
   TimePoint silent_since;
   size_t in_flight = 0;
   // When the attempts that are still unanswered were sent, oldest first.
-  std::vector<TimePoint> sent;
+  std::vector<TimePoint> sent_times;
   // Smoothed latency in ns; zero: none yet.
-  double latency = 0;
+  double latency_ns = 0;
   TimePoint latency_at;
   TargetLoad load;
   TimePoint load_at;
   ConcurrencyLimit limit;
   // Smoothed share of failures.
-  double failures = 0;
-  TimePoint failures_at;
+  double failure_share = 0;
+  TimePoint failure_share_at;
   // The same and a factor on latency, as all hosts of the zone together see it.
-  double shared_failures = 0;
+  double shared_failure_share = 0;
   double shared_slowdown = 1;
   // Orders a service's targets differently on each entry host.
-  uint64_t rank = 0;
+  uint64_t subset_rank = 0;
   // Not used until a health question is answered well.
   bool is_ejected = false;
   // Suspected for its silence only: connections to it could be had.
-  bool is_only_silent = false;
+  bool is_ejected_as_unresponsive = false;
   // A health question is wanted.
   bool needs_probe = false;
   TimePoint next_probe;
--- a/knapweedroad/routing/load_balancer.cc
+++ b/knapweedroad/routing/load_balancer.cc
@@ -17,30 +17,31 @@
 
 // After so many "unhealthy" in a row a request is tried now and then: health
 // answers may be false.
-constexpr size_t kUnhealthyBeforeTrial = 2;
-constexpr Duration kTrialIntervalAHost = milliseconds(250);
-constexpr Duration kLeastTrialInterval = milliseconds(500);
-// So many hosts at most send to one cold target, each once in the spacing.
-constexpr size_t kColdSenders = 3;
-constexpr Duration kColdSpacing = milliseconds(1200);
+constexpr size_t kUnhealthyProbesBeforeTrial = 2;
+constexpr Duration kTrialIntervalPerHost = milliseconds(250);
+constexpr Duration kMinTrialInterval = milliseconds(500);
+// So many hosts at max_connections send to one cold target, each once in the
+// spacing.
+constexpr size_t kMaxColdSenders = 3;
+constexpr Duration kColdSendInterval = milliseconds(1200);
 // A target whose heartbeats have stopped is used while it goes on to answer.
-constexpr Duration kSilentTrust = std::chrono::seconds(2);
+constexpr Duration kSilentGracePeriod = std::chrono::seconds(2);
 // As long as control hosts remember it.
-constexpr Duration kForgetSilentAfter = std::chrono::seconds(60);
+constexpr Duration kRemoveSilentAfter = std::chrono::seconds(60);
 
 // A target of another zone counts as so many times slower than it is: its bytes
 // cross between zones, and smoothed latencies of few values differ by chance.
-constexpr double kOtherZoneCost = 1.6;
+constexpr double kOtherZoneFactor = 1.6;
 // The same where an answer's parts from one zone cross together, and where
 // others do.
-constexpr std::array kNearZoneCosts = {1.3, 1.6};
-constexpr double kFarZoneCost = 2.1;
+constexpr std::array kPreferredZoneFactors = {1.3, 1.6};
+constexpr double kUnpreferredZoneFactor = 2.1;
 
 // One pick in so many passes over what others say of a target, so that somebody
 // finds out that it is well again.
 constexpr unsigned kIgnoreOutliersOneIn = 300;
 
-uint64_t HashOf(const HostId& host, const TargetId& target) {
+uint64_t RankHash(const HostId& host, const TargetId& target) {
   return XXH64(target.str().data(), target.str().size(),
                XXH64(host.str().data(), host.str().size(), 0));
 }
@@ -54,58 +55,59 @@
 void LoadBalancer::SetRouting(std::shared_ptr<const RouteTable> next) {
   this->routing = std::move(next);
   for (auto& [id, service] : this->services) {
-    this->TakeConfigured(id, service);
+    this->ApplyConfig(id, service);
   }
 }
 
-void LoadBalancer::TakeConfigured(const ServiceId& id,
-                                  BalancedService& service) const {
+void LoadBalancer::ApplyConfig(const ServiceId& id,
+                               BalancedService& service) const {
   const RoutedService* const configured =
       this->routing == nullptr ? nullptr : this->routing->FindService(id);
   service.max_connections =
       configured == nullptr ? 0 : configured->max_connections;
   service.cold_rate = configured == nullptr ? 0 : configured->cold_rate;
-  const auto split = this->splits.find(id);
-  service.split =
-      split == this->splits.end() ? std::nullopt : std::optional(split->second);
+  const auto split = this->version_splits.find(id);
+  service.split = split == this->version_splits.end()
+                      ? std::nullopt
+                      : std::optional(split->second);
 }
 
-BalancedService& LoadBalancer::ServiceOf(const ServiceId& id) {
-  const auto [place, is_new] = this->services.try_emplace(id);
+BalancedService& LoadBalancer::GetOrAddService(const ServiceId& id) {
+  const auto [entry, is_new] = this->services.try_emplace(id);
   if (is_new) {
-    this->TakeConfigured(id, place->second);
+    this->ApplyConfig(id, entry->second);
   }
-  return place->second;
+  return entry->second;
 }
 
-void LoadBalancer::SetZonesOut(const std::vector<ZoneId>& zones) {
-  this->zones_out = {zones.begin(), zones.end()};
+void LoadBalancer::SetEvacuatedZones(const std::vector<ZoneId>& zones) {
+  this->evacuated_zones = {zones.begin(), zones.end()};
 }
 
-BalancedTarget* LoadBalancer::Get(const TargetId& id) {
+BalancedTarget* LoadBalancer::Lookup(const TargetId& id) {
   const auto found = this->targets.find(id);
   return found == this->targets.end() ? nullptr : &found->second;
 }
 
-const BalancedTarget* LoadBalancer::Get(const TargetId& id) const {
+const BalancedTarget* LoadBalancer::Lookup(const TargetId& id) const {
   const auto found = this->targets.find(id);
   return found == this->targets.end() ? nullptr : &found->second;
 }
 
 const TargetRecord* LoadBalancer::Find(const TargetId& id) const {
-  const BalancedTarget* const target = this->Get(id);
+  const BalancedTarget* const target = this->Lookup(id);
   return target == nullptr ? nullptr : &target->record;
 }
 
-const TargetRecord* LoadBalancer::FindFree(const TargetId& id,
-                                           TimePoint now) const {
-  const BalancedTarget* const target = this->Get(id);
-  const bool may = target != nullptr && !this->IsCold(*target, now) &&
-                   this->MayTry(*target, now);
-  return may ? &target->record : nullptr;
+const TargetRecord* LoadBalancer::FindAvailable(const TargetId& id,
+                                                TimePoint now) const {
+  const BalancedTarget* const target = this->Lookup(id);
+  const bool is_available = target != nullptr && !this->IsCold(*target, now) &&
+                            this->MaySend(*target, now);
+  return is_available ? &target->record : nullptr;
 }
 
-void LoadBalancer::Drop(const TargetId& id) {
+void LoadBalancer::RemoveTarget(const TargetId& id) {
   const auto found = this->targets.find(id);
   if (found == this->targets.end()) {
     return;
@@ -114,188 +116,197 @@
   this->targets.erase(found);
 }
 
-void LoadBalancer::Learn(const TargetRecord& record, TimePoint now) {
-  BalancedTarget* known = this->Get(record.id);
-  if (known != nullptr && !Supersedes(record, known->record)) {
+void LoadBalancer::UpdateTarget(const TargetRecord& record, TimePoint now) {
+  BalancedTarget* current = this->Lookup(record.id);
+  if (current != nullptr && !Supersedes(record, current->record)) {
     return;
   }
-  const bool is_new_life = known == nullptr ||
-                           known->record.started_ms != record.started_ms ||
-                           known->record.address != record.address ||
-                           known->record.service != record.service;
-  if (is_new_life) {
-    const size_t in_flight = known == nullptr ? 0 : known->in_flight;
-    this->Drop(record.id);
-    known = &this->targets[record.id];
-    known->in_flight = in_flight;
-    known->rank = HashOf(this->options.self, record.id);
-    known->service = &this->ServiceOf(record.service);
-    known->service->targets.push_back(known);
+  const bool is_new_instance =
+      current == nullptr || current->record.started_ms != record.started_ms ||
+      current->record.address != record.address ||
+      current->record.service != record.service;
+  if (is_new_instance) {
+    const size_t in_flight = current == nullptr ? 0 : current->in_flight;
+    this->RemoveTarget(record.id);
+    current = &this->targets[record.id];
+    current->in_flight = in_flight;
+    current->subset_rank = RankHash(this->options.self, record.id);
+    current->service = &this->GetOrAddService(record.service);
+    current->service->targets.push_back(current);
   }
   if (record.phase == TargetPhase::kSilent &&
-      known->record.phase != TargetPhase::kSilent) {
-    known->silent_since = now;
+      current->record.phase != TargetPhase::kSilent) {
+    current->silent_since = now;
   }
-  known->record = record;
-  known->cold_until = now + record.cold_left;
-  ChooseVersion(*known->service, now);
+  current->record = record;
+  current->cold_until = now + record.cold_left;
+  ChooseVersion(*current->service, now);
 }
 
 bool LoadBalancer::IsCold(const BalancedTarget& target, TimePoint now) const {
   return target.cold_until > now;
 }
 
-// Caps the number of senders so that the aggregate rate stays under the cold
-// limit; every host reckons the same ones.
-bool LoadBalancer::MaySendCold(const BalancedTarget& target,
-                               TimePoint now) const {
+// Caps the number of max_senders so that the aggregate rate stays under the
+// cold limit; every host reckons the same ones.
+bool LoadBalancer::MaySendWhileCold(const BalancedTarget& target,
+                                    TimePoint now) const {
   if (now < target.next_cold_send) {
     return false;
   }
-  const double allowed =
+  const double max_rate =
       target.service->cold_rate * this->options.cold_burst_factor +
       this->options.cold_slack;
-  const auto senders = std::min<size_t>(
-      kColdSenders, static_cast<size_t>(std::max(0.0, allowed / 1.5)));
-  size_t before = 0;
-  for (const HostId& host : this->share.hosts()) {
+  const auto max_senders = std::min<size_t>(
+      kMaxColdSenders, static_cast<size_t>(std::max(0.0, max_rate / 1.5)));
+  size_t lower_ranked = 0;
+  for (const HostId& host : this->connection_share.hosts()) {
     if (host != this->options.self &&
-        HashOf(host, target.record.id) < target.rank) {
-      ++before;
+        RankHash(host, target.record.id) < target.subset_rank) {
+      ++lower_ranked;
     }
   }
-  return before < senders;
+  return lower_ranked < max_senders;
 }
 
 bool LoadBalancer::IsUsable(const BalancedTarget& target, TimePoint now) const {
   const TargetPhase phase = target.record.phase;
-  const bool is_trusted_silent =
-      phase == TargetPhase::kSilent && now - target.last_success < kSilentTrust;
-  return (phase == TargetPhase::kServing || is_trusted_silent) &&
-         !this->zones_out.contains(target.record.zone) && MayRunVersion(target);
+  const bool is_in_grace_period =
+      phase == TargetPhase::kSilent &&
+      now - target.last_success < kSilentGracePeriod;
+  return (phase == TargetPhase::kServing || is_in_grace_period) &&
+         !this->evacuated_zones.contains(target.record.zone) &&
+         IsAllowedVersion(target);
 }
 
-size_t LoadBalancer::CapOf(const BalancedTarget& target, TimePoint now) const {
-  const size_t most = target.service->max_connections;
-  return most == 0 ? 1 : this->share.MaxPerTarget(most, now);
+size_t LoadBalancer::ConnectionCap(const BalancedTarget& target,
+                                   TimePoint now) const {
+  const size_t max_connections = target.service->max_connections;
+  return max_connections == 0
+             ? 1
+             : this->connection_share.MaxPerTarget(max_connections, now);
 }
 
 // With more hosts than a target takes connections, each host keeps to a part of
 // the targets, its own zone's first, and every host to another part.
 bool LoadBalancer::IsInSubset(const BalancedTarget& target) const {
   const BalancedService& service = *target.service;
-  const size_t most = service.max_connections;
-  const size_t all = service.targets.size();
-  const size_t size = most == 0 ? all : this->share.SubsetSize(all, most);
-  if (size >= all) {
+  const size_t max_connections = service.max_connections;
+  const size_t target_count = service.targets.size();
+  const size_t size = max_connections == 0 ? target_count
+                                           : this->connection_share.SubsetSize(
+                                                 target_count, max_connections);
+  if (size >= target_count) {
     return true;
   }
-  const auto key = [this](const BalancedTarget& of) {
-    return std::pair(this->IsOutside(of), of.rank);
+  const auto key = [this](const BalancedTarget& ranked) {
+    return std::pair(this->IsInOtherZone(ranked), ranked.subset_rank);
   };
-  size_t before = 0;
+  size_t lower_ranked = 0;
   for (const BalancedTarget* const other : service.targets) {
-    const bool counts =
+    const bool is_in_use =
         other->record.phase == TargetPhase::kServing && !other->is_ejected;
-    if (other != &target && counts && key(*other) < key(target)) {
-      ++before;
+    if (other != &target && is_in_use && key(*other) < key(target)) {
+      ++lower_ranked;
     }
   }
-  return before < size;
+  return lower_ranked < size;
 }
 
-bool LoadBalancer::MayTry(const BalancedTarget& target, TimePoint now) const {
+bool LoadBalancer::MaySend(const BalancedTarget& target, TimePoint now) const {
   if (!this->IsUsable(target, now) ||
-      target.in_flight >= target.limit.MaxInFlight(this->CapOf(target, now))) {
+      target.in_flight >=
+          target.limit.MaxInFlight(this->ConnectionCap(target, now))) {
     return false;
   }
   if (!target.is_ejected) {
     return true;
   }
-  if (target.is_only_silent) {
+  if (target.is_ejected_as_unresponsive) {
     return target.in_flight == 0;
   }
-  return target.unhealthy_probes >= kUnhealthyBeforeTrial &&
+  return target.unhealthy_probes >= kUnhealthyProbesBeforeTrial &&
          now >= target.next_trial;
 }
 
-void LoadBalancer::ForgetSilent(TimePoint now) {
-  std::vector<TargetId> forgotten;
+void LoadBalancer::RemoveSilentTargets(TimePoint now) {
+  std::vector<TargetId> expired;
   for (const auto& [id, target] : this->targets) {
     if (target.record.phase == TargetPhase::kSilent && target.in_flight == 0 &&
-        now - target.silent_since > kForgetSilentAfter) {
-      forgotten.push_back(id);
+        now - target.silent_since > kRemoveSilentAfter) {
+      expired.push_back(id);
     }
   }
-  for (const TargetId& id : forgotten) {
-    BalancedService& service = *this->Get(id)->service;
-    this->Drop(id);
+  for (const TargetId& id : expired) {
+    BalancedService& service = *this->Lookup(id)->service;
+    this->RemoveTarget(id);
     ChooseVersion(service, now);
   }
 }
 
-bool LoadBalancer::IsOutside(const BalancedTarget& target) const {
+bool LoadBalancer::IsInOtherZone(const BalancedTarget& target) const {
   return target.record.zone != this->options.zone;
 }
 
 // After a cut has healed, targets beyond it are asked for their health at once
 // instead of at their next regular turn.
-void LoadBalancer::OnOutsideAnswer(TimePoint now) {
+void LoadBalancer::OnOtherZoneAnswered(TimePoint now) {
   if (!this->zone_reachability.OnAnswered(now)) {
     return;
   }
   for (auto& [id, target] : this->targets) {
-    if (target.is_ejected && this->IsOutside(target)) {
+    if (target.is_ejected && this->IsInOtherZone(target)) {
       target.next_probe = now;
       target.failed_probes = 0;
     }
   }
 }
 
-double LoadBalancer::ZoneCost(const BalancedTarget& target,
-                              std::span<const ZoneId> near_zones) const {
-  if (!this->IsOutside(target)) {
+double LoadBalancer::ZoneFactor(const BalancedTarget& target,
+                                std::span<const ZoneId> preferred_zones) const {
+  if (!this->IsInOtherZone(target)) {
     return 1;
   }
-  if (near_zones.empty()) {
-    return kOtherZoneCost;
+  if (preferred_zones.empty()) {
+    return kOtherZoneFactor;
   }
-  const auto place = std::ranges::find(near_zones, target.record.zone);
-  const auto rank = static_cast<size_t>(place - near_zones.begin());
-  return rank < kNearZoneCosts.size() && place != near_zones.end()
-             ? kNearZoneCosts[rank]
-             : kFarZoneCost;
+  const auto found = std::ranges::find(preferred_zones, target.record.zone);
+  const auto rank = static_cast<size_t>(found - preferred_zones.begin());
+  return rank < kPreferredZoneFactors.size() && found != preferred_zones.end()
+             ? kPreferredZoneFactors[rank]
+             : kUnpreferredZoneFactor;
 }
 
-double LoadBalancer::Cost(const BalancedTarget& target,
-                          std::span<const ZoneId> near_zones,
-                          TimePoint now) {
-  const bool is_scarce = now < this->connections_scarce_until;
+double LoadBalancer::EstimateCost(const BalancedTarget& target,
+                                  std::span<const ZoneId> preferred_zones,
+                                  TimePoint now) {
+  const bool are_connections_scarce = now < this->connections_scarce_until;
   const CostContext context{
-      .usual_latency_ns = target.service->latency,
+      .usual_latency_ns = target.service->latency_ns,
       .uses_shared_outcomes = this->random() % kIgnoreOutliersOneIn != 0,
-      .zone_factor = this->ZoneCost(target, near_zones),
+      .zone_factor = this->ZoneFactor(target, preferred_zones),
       .is_outside_subset = !this->IsInSubset(target),
-      .needs_scarce_connection = is_scarce && this->options.is_connected &&
-                                 !this->options.is_connected(target.record.id)};
+      .needs_scarce_connection =
+          are_connections_scarce && this->options.has_idle_connection &&
+          !this->options.has_idle_connection(target.record.id)};
   // Ties are broken by lot.
   return CostOf(target, context, now) *
          (1 + 0.02 * static_cast<double>(this->random()) /
                   static_cast<double>(std::minstd_rand::max()));
 }
 
-std::optional<TargetId> LoadBalancer::Pick(const ServiceId& service_id,
-                                           std::span<const TargetId> tried,
-                                           TimePoint now,
-                                           std::span<const ZoneId> near_zones) {
+std::optional<TargetId> LoadBalancer::Pick(
+    const ServiceId& service_id,
+    std::span<const TargetId> tried,
+    TimePoint now,
+    std::span<const ZoneId> preferred_zones) {
   const auto found = this->services.find(service_id);
   if (found == this->services.end()) {
     return std::nullopt;
   }
   bool avoids_candidate = false;
   if (const auto& split = found->second.split; split && split->allows_stable) {
-    const bool prefers_candidate =
-        this->PrefersCandidate(*split, tried.empty());
+    const bool prefers_candidate = this->DrawCandidate(*split, tried.empty());
     BalancedTarget* const candidate =
         prefers_candidate ? this->PickCandidate(found->second, now) : nullptr;
     if (candidate != nullptr) {
@@ -313,20 +324,20 @@
     const bool is_avoided =
         avoids_candidate &&
         target.record.version == found->second.split->candidate;
-    if (is_avoided || !this->MayTry(target, now) ||
+    if (is_avoided || !this->MaySend(target, now) ||
         std::ranges::find(tried, target.record.id) != tried.end()) {
       continue;
     }
     Rank rank = kWarm;
     if (this->IsCold(target, now)) {
-      rank = this->MaySendCold(target, now) ? kCold : kNone;
+      rank = this->MaySendWhileCold(target, now) ? kCold : kNone;
     } else if (target.is_ejected) {
       rank = kTrial;
     }
     if (rank == kNone || rank > best_rank) {
       continue;
     }
-    const double cost = this->Cost(target, near_zones, now);
+    const double cost = this->EstimateCost(target, preferred_zones, now);
     if (rank < best_rank || cost < best_cost) {
       best_rank = rank;
       best_cost = cost;
@@ -337,11 +348,12 @@
     return std::nullopt;
   }
   if (best_rank == kCold) {
-    best->next_cold_send = now + kColdSpacing;
+    best->next_cold_send = now + kColdSendInterval;
   } else if (best_rank == kTrial) {
-    const auto hosts = static_cast<int64_t>(this->share.host_count());
+    const auto hosts =
+        static_cast<int64_t>(this->connection_share.host_count());
     best->next_trial =
-        now + std::max(kLeastTrialInterval, kTrialIntervalAHost * hosts);
+        now + std::max(kMinTrialInterval, kTrialIntervalPerHost * hosts);
   }
   return best->record.id;
 }
@@ -355,7 +367,7 @@
   }
   return std::ranges::any_of(
       found->second.targets, [&](const BalancedTarget* target) {
-        return this->IsWell(*target, now) &&
+        return this->IsReady(*target, now) &&
                std::ranges::find(tried, target->record.id) == tried.end();
       });
 }
@@ -368,40 +380,40 @@
   }
   return std::ranges::any_of(
       found->second.targets, [&](const BalancedTarget* target) {
-        return !this->IsOutside(*target) && this->IsWell(*target, now);
+        return !this->IsInOtherZone(*target) && this->IsReady(*target, now);
       });
 }
 
-bool LoadBalancer::IsWell(const BalancedTarget& target, TimePoint now) const {
+bool LoadBalancer::IsReady(const BalancedTarget& target, TimePoint now) const {
   return this->IsUsable(target, now) && !target.is_ejected &&
          !this->IsCold(target, now);
 }
 
-ServiceCount LoadBalancer::Count(const ServiceId& service,
-                                 TimePoint now) const {
-  ServiceCount count;
+TargetCounts LoadBalancer::CountTargets(const ServiceId& service,
+                                        TimePoint now) const {
+  TargetCounts counts;
   const auto found = this->services.find(service);
   if (found == this->services.end()) {
-    return count;
+    return counts;
   }
   for (const BalancedTarget* const counted : found->second.targets) {
     const BalancedTarget& target = *counted;
     const TargetPhase phase = target.record.phase;
     if (phase == TargetPhase::kLeaving || phase == TargetPhase::kGone) {
-      ++count.leaving;
-    } else if (this->zones_out.contains(target.record.zone)) {
-      ++count.out;
+      ++counts.leaving;
+    } else if (this->evacuated_zones.contains(target.record.zone)) {
+      ++counts.evacuated;
     } else if (!this->IsUsable(target, now)) {
-      ++count.silent;
+      ++counts.silent;
     } else if (target.is_ejected) {
-      ++count.ejected;
+      ++counts.ejected;
     } else if (this->IsCold(target, now)) {
-      ++count.cold;
+      ++counts.cold;
     } else {
-      ++count.usable;
+      ++counts.usable;
     }
   }
-  return count;
+  return counts;
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/load_balancer.h
+++ b/knapweedroad/routing/load_balancer.h
@@ -29,7 +29,7 @@
 #include "knapweedroad/routing/balanced_target.h"
 #include "knapweedroad/routing/connection_share.h"
 #include "knapweedroad/routing/outlier_lists.h"
-#include "knapweedroad/routing/service_count.h"
+#include "knapweedroad/routing/target_counts.h"
 #include "knapweedroad/routing/target_load.h"
 #include "knapweedroad/routing/zone_reachability.h"
 
@@ -44,7 +44,7 @@
   std::string_view health;
   std::string_view cause;
   // How long it had been silent, or stays cold; zero where it doesn't apply.
-  Duration span{};
+  Duration duration{};
 };
 
 struct LoadBalancerOptions {
@@ -61,9 +61,9 @@
   std::function<void(const TargetHealthChange&)> on_health_change;
   // Told of each attempt's outcome, to be shared with other hosts, and whether
   // it was a failure or took far longer than usual; may be absent.
-  std::function<void(const TargetOutcomes&, bool is_bad)> on_outcomes;
+  std::function<void(const TargetOutcomes&, bool is_failed_or_slow)> on_outcome;
   // Whether this host holds an idle connection to the target; absent: yes.
-  std::function<bool(const TargetId&)> is_connected;
+  std::function<bool(const TargetId&)> has_idle_connection;
 };
 
 // What a health question showed.
@@ -71,7 +71,7 @@
   // Nothing came: refused, reset or silent.
   bool is_reachable = false;
   // A connection could be had, and ended without an answer.
-  bool is_unclear = false;
+  bool is_inconclusive = false;
   // Another target answered at the address.
   bool is_other_target = false;
   bool is_healthy = false;
@@ -89,32 +89,34 @@
   explicit LoadBalancer(LoadBalancerOptions options);
 
   // News of a target; older knowledge than is held changes nothing.
-  void Learn(const TargetRecord& record, TimePoint now);
+  void UpdateTarget(const TargetRecord& record, TimePoint now);
 
   // What is in force: caps and cold rates of services.
   void SetRouting(std::shared_ptr<const RouteTable> routing);
-  void SetZonesOut(const std::vector<ZoneId>& zones);
+  void SetEvacuatedZones(const std::vector<ZoneId>& zones);
   // How services with a roll-out divide their requests between versions;
   // replaces all that was set before. Of another service only the version of
   // the targets that were there first is used, until they have all left.
-  void SetVersionSplits(std::unordered_map<ServiceId, VersionSplit> splits);
+  void SetVersionSplits(std::unordered_map<ServiceId, VersionSplit> next);
   // All entry hosts, this one among them: they share what a target bears.
   void SetEntryHosts(std::vector<HostId> hosts, TimePoint now) {
-    this->share.SetHosts(std::move(hosts), now);
+    this->connection_share.SetHosts(std::move(hosts), now);
   }
   // What all hosts of the zone together see of targets, as one control host
   // tells it; replaces what it told before. Nothing: that still holds.
-  void LearnOutliers(const HostId& control_host,
-                     std::optional<std::vector<TargetOutlier>> outliers,
-                     TimePoint now);
+  void UpdateOutliers(const HostId& control_host,
+                      std::optional<std::vector<TargetOutlier>> outliers,
+                      TimePoint now);
   // Drops what control hosts that no longer reply have told. Called every few
   // hundred milliseconds.
-  void ForgetOldOutliers(TimePoint now);
+  void ExpireOutliers(TimePoint now);
   // Drops targets that have been silent for so long that control hosts have
   // forgotten them.
-  void ForgetSilent(TimePoint now);
+  void RemoveSilentTargets(TimePoint now);
   // How many share it, at the most, as far as known.
-  size_t entry_hosts() const { return this->share.host_count(); }
+  size_t entry_host_count() const {
+    return this->connection_share.host_count();
+  }
 
   // The target of the service that promises the soonest answer, none of
   // `tried`; nothing if none can take a request now.
@@ -123,7 +125,7 @@
   std::optional<TargetId> Pick(const ServiceId& service,
                                std::span<const TargetId> tried,
                                TimePoint now,
-                               std::span<const ZoneId> near_zones = {});
+                               std::span<const ZoneId> preferred_zones = {});
 
   // Whether some target of the service, none of `tried`, may take requests, now
   // or as soon as one that runs has ended.
@@ -134,22 +136,22 @@
   // The same by targets of this host's own zone alone.
   bool IsServedInZone(const ServiceId& service, TimePoint now) const;
 
-  ServiceCount Count(const ServiceId& service, TimePoint now) const;
+  TargetCounts CountTargets(const ServiceId& service, TimePoint now) const;
 
   // Whether this zone seems cut off, by what targets of others answer.
   ZoneReachability& reachability() { return this->zone_reachability; }
   // A control host of another zone has answered, or a target.
-  void OnOutsideAnswer(TimePoint now);
+  void OnOtherZoneAnswered(TimePoint now);
 
   // Whether connections are to be closed after use, so that other hosts find
   // places at the targets.
-  bool GivesBackConnections(TimePoint now) const;
+  bool ShouldCloseConnections(TimePoint now) const;
 
   // Null once it is gone.
   const TargetRecord* Find(const TargetId& id) const;
 
   // Null where no further request may go to it now.
-  const TargetRecord* FindFree(const TargetId& id, TimePoint now) const;
+  const TargetRecord* FindAvailable(const TargetId& id, TimePoint now) const;
 
   // Outcomes. Each attempt is OnSent() once, then one of the others once.
   void OnSent(const TargetId& id, TimePoint now);
@@ -170,9 +172,9 @@
   // No connection could be had.
   void OnUnreachable(const TargetId& id, TimePoint now);
   // Nothing came in all the time it was given.
-  void OnSilent(const TargetId& id, TimePoint now);
+  void OnUnresponsive(const TargetId& id, TimePoint now);
   // Another target answers at its address.
-  void OnMisdirected(const TargetId& id, TimePoint now);
+  void OnOtherTargetAnswered(const TargetId& id, TimePoint now);
   // The attempt was given up `waited` after it was sent.
   void OnAbandoned(const TargetId& id, Duration waited, TimePoint now);
   // An idle connection was closed from the other side, unannounced.
@@ -180,57 +182,59 @@
 
   // Stops using targets that have left attempts unanswered for long while
   // nothing came from them. Not called after this process stood still.
-  void EjectSilent(TimePoint now);
+  void EjectUnresponsive(TimePoint now);
 
   // Targets to ask for their health now; each is then due again after a
   // while. Asked before new requests go to a target that has failed.
   std::vector<DueProbe> DueProbes(TimePoint now);
-  void OnProbe(const TargetId& id, const ProbeResult& result, TimePoint now);
+  void OnProbeResult(const TargetId& id,
+                     const ProbeResult& result,
+                     TimePoint now);
 
  private:
-  BalancedTarget* Get(const TargetId& id);
-  const BalancedTarget* Get(const TargetId& id) const;
-  void Drop(const TargetId& id);
+  BalancedTarget* Lookup(const TargetId& id);
+  const BalancedTarget* Lookup(const TargetId& id) const;
+  void RemoveTarget(const TargetId& id);
   bool IsUsable(const BalancedTarget& target, TimePoint now) const;
-  static bool MayRunVersion(const BalancedTarget& target);
+  static bool IsAllowedVersion(const BalancedTarget& target);
   // Chooses the version of a service without a roll-out.
   static void ChooseVersion(BalancedService& service, TimePoint now);
   bool IsCold(const BalancedTarget& target, TimePoint now) const;
-  bool IsWell(const BalancedTarget& target, TimePoint now) const;
-  bool MayTry(const BalancedTarget& target, TimePoint now) const;
-  bool MaySendCold(const BalancedTarget& target, TimePoint now) const;
+  bool IsReady(const BalancedTarget& target, TimePoint now) const;
+  bool MaySend(const BalancedTarget& target, TimePoint now) const;
+  bool MaySendWhileCold(const BalancedTarget& target, TimePoint now) const;
   bool IsInSubset(const BalancedTarget& target) const;
   // The service, with what is configured of it.
-  BalancedService& ServiceOf(const ServiceId& id);
-  void TakeConfigured(const ServiceId& id, BalancedService& service) const;
-  size_t CapOf(const BalancedTarget& target, TimePoint now) const;
-  double Cost(const BalancedTarget& target,
-              std::span<const ZoneId> near_zones,
-              TimePoint now);
-  double ZoneCost(const BalancedTarget& target,
-                  std::span<const ZoneId> near_zones) const;
+  BalancedService& GetOrAddService(const ServiceId& id);
+  void ApplyConfig(const ServiceId& id, BalancedService& service) const;
+  size_t ConnectionCap(const BalancedTarget& target, TimePoint now) const;
+  double EstimateCost(const BalancedTarget& target,
+                      std::span<const ZoneId> preferred_zones,
+                      TimePoint now);
+  double ZoneFactor(const BalancedTarget& target,
+                    std::span<const ZoneId> preferred_zones) const;
   // Which of the two versions of a split an attempt goes to by preference.
-  bool PrefersCandidate(const VersionSplit& split, bool is_first);
+  bool DrawCandidate(const VersionSplit& split, bool is_first);
   BalancedTarget* PickCandidate(const BalancedService& service, TimePoint now);
   void EndAttempt(BalancedTarget& target);
-  void TakeLoad(BalancedTarget& target,
-                const std::optional<TargetLoad>& load,
-                TimePoint now);
-  bool IsOutside(const BalancedTarget& target) const;
-  void ShareOutcome(const BalancedTarget& target, TargetOutcomes seen);
+  void RecordLoad(BalancedTarget& target,
+                  const std::optional<TargetLoad>& load,
+                  TimePoint now);
+  bool IsInOtherZone(const BalancedTarget& target) const;
+  void ReportOutcome(const BalancedTarget& target, TargetOutcomes outcome);
   void ApplyOutliers();
   void Eject(BalancedTarget& target, std::string_view cause, TimePoint now);
   void Restore(BalancedTarget& target, std::string_view cause);
-  void ReportHealth(const BalancedTarget& target,
-                    std::string_view health,
-                    std::string_view cause,
-                    Duration span = Duration::zero()) const;
+  void ReportHealthChange(const BalancedTarget& target,
+                          std::string_view health,
+                          std::string_view cause,
+                          Duration duration = Duration::zero()) const;
   // Smoothed latencies take the value in, and `seen` with it is shared.
-  void CountLatency(BalancedTarget& target,
-                    double taken,
-                    double weight,
-                    TargetOutcomes seen,
-                    TimePoint now);
+  void RecordLatency(BalancedTarget& target,
+                     double latency_ns,
+                     double weight,
+                     TargetOutcomes outcome,
+                     TimePoint now);
   Duration ProbeInterval(const BalancedTarget& target) const;
 
   LoadBalancerOptions options;
@@ -238,10 +242,10 @@
   // Targets and services refer to each other; neither moves.
   std::unordered_map<ServiceId, BalancedService> services;
   std::shared_ptr<const RouteTable> routing;
-  std::set<ZoneId> zones_out;
-  std::unordered_map<ServiceId, VersionSplit> splits;
+  std::set<ZoneId> evacuated_zones;
+  std::unordered_map<ServiceId, VersionSplit> version_splits;
   OutlierLists outliers;
-  ConnectionShare share;
+  ConnectionShare connection_share;
   ZoneReachability zone_reachability;
   // Until then targets are taken to be short of connections.
   TimePoint connections_scarce_until;
--- a/knapweedroad/routing/load_balancer_versions.cc
+++ b/knapweedroad/routing/load_balancer_versions.cc
@@ -10,12 +10,12 @@
 
 void LoadBalancer::SetVersionSplits(
     std::unordered_map<ServiceId, VersionSplit> next) {
-  if (next == this->splits) {
+  if (next == this->version_splits) {
     return;
   }
-  this->splits = std::move(next);
+  this->version_splits = std::move(next);
   for (auto& [id, service] : this->services) {
-    this->TakeConfigured(id, service);
+    this->ApplyConfig(id, service);
   }
 }
 
@@ -23,41 +23,42 @@
 // use are there, however ill they are. All of a batch of news has one time:
 // among the first targets heard of, those that started first decide.
 void LoadBalancer::ChooseVersion(BalancedService& service, TimePoint now) {
-  const auto is_there = [](const BalancedTarget* target) {
+  const auto is_present = [](const BalancedTarget* target) {
     return target->record.phase == TargetPhase::kServing ||
            target->record.phase == TargetPhase::kSilent;
   };
   const bool is_kept =
-      service.version_chosen != now &&
+      service.version_chosen_at != now &&
       std::ranges::any_of(service.targets, [&](const BalancedTarget* target) {
-        return is_there(target) && target->record.version == service.version;
+        return is_present(target) &&
+               target->record.version == service.version_in_use;
       });
   if (is_kept) {
     return;
   }
-  const BalancedTarget* first = nullptr;
+  const BalancedTarget* earliest = nullptr;
   for (const BalancedTarget* const target : service.targets) {
     const bool is_earlier =
-        first == nullptr ||
+        earliest == nullptr ||
         std::tie(target->record.started_ms, target->record.version) <
-            std::tie(first->record.started_ms, first->record.version);
-    if (is_there(target) && is_earlier) {
-      first = target;
+            std::tie(earliest->record.started_ms, earliest->record.version);
+    if (is_present(target) && is_earlier) {
+      earliest = target;
     }
   }
-  if (first != nullptr) {
-    service.version = first->record.version;
-    service.version_chosen = now;
+  if (earliest != nullptr) {
+    service.version_in_use = earliest->record.version;
+    service.version_chosen_at = now;
   }
 }
 
-bool LoadBalancer::MayRunVersion(const BalancedTarget& target) {
+bool LoadBalancer::IsAllowedVersion(const BalancedTarget& target) {
   const BalancedService& service = *target.service;
   return service.split ? service.split->Allows(target.record.version)
-                       : target.record.version == service.version;
+                       : target.record.version == service.version_in_use;
 }
 
-bool LoadBalancer::PrefersCandidate(const VersionSplit& split, bool is_first) {
+bool LoadBalancer::DrawCandidate(const VersionSplit& split, bool is_first) {
   if (!split.allows_stable) {
     return true;
   }
@@ -69,17 +70,18 @@
 // By lot, not by cost: a cost that rises with bad answers would hide them.
 BalancedTarget* LoadBalancer::PickCandidate(const BalancedService& service,
                                             TimePoint now) {
-  BalancedTarget* drawn = nullptr;
-  unsigned seen = 0;
+  BalancedTarget* chosen = nullptr;
+  unsigned eligible_count = 0;
   for (BalancedTarget* const target : service.targets) {
-    const bool may = target->record.version == service.split->candidate &&
-                     !target->is_ejected && !this->IsCold(*target, now) &&
-                     this->MayTry(*target, now);
-    if (may && this->random() % ++seen == 0) {
-      drawn = target;
+    const bool is_eligible =
+        target->record.version == service.split->candidate &&
+        !target->is_ejected && !this->IsCold(*target, now) &&
+        this->MaySend(*target, now);
+    if (is_eligible && this->random() % ++eligible_count == 0) {
+      chosen = target;
     }
   }
-  return drawn;
+  return chosen;
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/routing/target_cost.cc
+++ b/knapweedroad/routing/target_cost.cc
@@ -56,19 +56,20 @@
   const double usual = usual_latency_ns > 0
                            ? usual_latency_ns
                            : static_cast<double>(kDefaultLatency.count());
-  if (target.latency <= 0) {
+  if (target.latency_ns <= 0) {
     return usual;
   }
   const double retained = Decay(now - target.latency_at, kLatencyHalfLife);
-  return target.latency * retained +
+  return target.latency_ns * retained +
          kUnknownLatencyFactor * usual * (1 - retained);
 }
 
 double StallCost(const BalancedTarget& target, double latency, TimePoint now) {
-  if (target.sent.empty()) {
+  if (target.sent_times.empty()) {
     return 0;
   }
-  const auto age = static_cast<double>((now - target.sent.front()).count());
+  const auto age =
+      static_cast<double>((now - target.sent_times.front()).count());
   const double min_age = std::max(kStallFactor * latency,
                                   static_cast<double>(kMinStallAge.count()));
   return age > min_age ? kStallFactor * age : 0;
@@ -77,15 +78,17 @@
 }  // namespace
 
 double FailureShare(const BalancedTarget& target, TimePoint now) {
-  return target.failures * Decay(now - target.failures_at, kFailureHalfLife);
+  return target.failure_share *
+         Decay(now - target.failure_share_at, kFailureHalfLife);
 }
 
 void CountOutcome(BalancedTarget& target,
                   double failure,
                   double weight,
                   TimePoint now) {
-  target.failures = FailureShare(target, now) * (1 - weight) + weight * failure;
-  target.failures_at = now;
+  target.failure_share =
+      FailureShare(target, now) * (1 - weight) + weight * failure;
+  target.failure_share_at = now;
 }
 
 double CostOf(const BalancedTarget& target,
@@ -95,8 +98,8 @@
   double failure_cost = kFailureCostFactor * FailureShare(target, now);
   if (context.uses_shared_outcomes) {
     failure_cost = std::max(failure_cost, kSharedFailureCostFactor *
-                                              target.shared_failures *
-                                              target.shared_failures);
+                                              target.shared_failure_share *
+                                              target.shared_failure_share);
     if (target.shared_slowdown > 1) {
       latency =
           std::max(latency, context.usual_latency_ns * target.shared_slowdown);
