--- a/bench/capacity/membership_cost.cc
+++ b/bench/capacity/membership_cost.cc
@@ -211,9 +211,9 @@
                  .zone = ZoneId("brussel-a"),
                  .incarnation = 1,
                  .configuration_version = 8,
-                 .can_hold = true};
+                 .can_hold_leases = true};
   for (int number = 0; number < held; ++number) {
-    beat.held.push_back(SampleHeld(number));
+    beat.held_targets.push_back(SampleHeld(number));
   }
   for (int number = 0; number < reports; ++number) {
     beat.reports.push_back({SampleReport(number), 100ms});
@@ -236,7 +236,7 @@
   std::vector<std::string> texts;
   for (int number = 0; number < kBeats; ++number) {
     ++beat.sequence;
-    for (AgedReport& aged : beat.reports) {
+    for (RelayedReport& aged : beat.reports) {
       ++aged.report.sequence;
     }
     texts.push_back(EncodeBytes(beat));
@@ -258,8 +258,8 @@
       const auto heard = DecodeBytes<Heartbeat>(text);
       view.OnHeartbeat(*heard, now);
       holders.OnHeartbeat(*heard, now);
-      for (const AgedReport& aged : heard->reports) {
-        directory.OnPassedOn(aged, now);
+      for (const RelayedReport& aged : heard->reports) {
+        directory.OnRelayedReport(aged, now);
       }
     }
     const double took = CpuNow() - start;
@@ -322,7 +322,7 @@
     const double cpu = CpuMicroseconds([&] {
       for (int number = 0; number < kPassedOn; ++number) {
         ++report.sequence;
-        directory.OnPassedOn({report, 100ms}, TimePoint(1h));
+        directory.OnRelayedReport({report, 100ms}, TimePoint(1h));
       }
     });
     recorder.Add({"directory_report", "cpu_us", "targets"}, size,
--- a/bench/capacity/memory_cost.cc
+++ b/bench/capacity/memory_cost.cc
@@ -45,7 +45,7 @@
   auto holders = std::make_unique<HolderDirectory>(HolderDirectory::Options{});
   Heartbeat beat{.host = HostId("brussel-a-1")};
   for (int number = 0; number < count; ++number) {
-    beat.held.push_back(SampleHeld(number));
+    beat.held_targets.push_back(SampleHeld(number));
   }
   holders->OnHeartbeat(beat, kNow);
   return holders;
--- a/knapweedroad/host/gossip.cc
+++ b/knapweedroad/host/gossip.cc
@@ -48,7 +48,7 @@
                  .sequence = ++this->sequence};
   this->options.fill(beat);
   beat.reports =
-      this->options.directory.TakeFresh(kReportsEach, Runtime::Now());
+      this->options.directory.TakePendingReports(kReportsEach, Runtime::Now());
   const std::string bytes = EncodeBytes(beat);
   this->options.links.SendToAll(PeerMessageType::kHeartbeat, bytes);
   this->CallSilentHosts(bytes);
@@ -64,7 +64,7 @@
     this->runtime.Spawn([this, peer, bytes, host = status.host] {
       if (peer->Call(PeerMessageType::kHeartbeat, bytes,
                      Runtime::Now() + kCallTimeout)) {
-        this->options.view.OnHeard(host, Runtime::Now());
+        this->options.view.OnMessage(host, Runtime::Now());
       }
     });
   }
@@ -84,8 +84,8 @@
     return;
   }
   this->options.holders.OnHeartbeat(*beat, now);
-  for (const AgedReport& aged : beat->reports) {
-    if (this->options.directory.OnPassedOn(aged, now)) {
+  for (const RelayedReport& aged : beat->reports) {
+    if (this->options.directory.OnRelayedReport(aged, now)) {
       this->options.on_report(aged.report);
     }
   }
--- a/knapweedroad/host/host.cc
+++ b/knapweedroad/host/host.cc
@@ -114,7 +114,7 @@
       view({.self = this->settings.name, .hosts = this->settings.hosts}),
       holders({}),
       directory(
-          {.zone_out =
+          {.is_zone_out_of_service =
                [this](const ZoneId& zone) { return this->ZoneIsOut(zone); }}),
       targets(runtime, this->settings.zone),
       router(
@@ -349,7 +349,7 @@
                           .zone = this->settings.zone,
                           .alive = true,
                           .leaving = this->is_stopping,
-                          .can_hold = this->leases.CanHold(now),
+                          .can_hold_leases = this->leases.CanHold(now),
                           .incarnation = this->incarnation,
                           .configuration_version = this->keeper.version(),
                           .silent_for = Duration::zero()});
@@ -373,9 +373,9 @@
 void Host::State::FillHeartbeat(Heartbeat& beat) const {
   const TimePoint now = Runtime::Now();
   beat.configuration_version = this->keeper.version();
-  beat.can_hold = this->leases.CanHold(now);
+  beat.can_hold_leases = this->leases.CanHold(now);
   beat.leaving = this->is_stopping;
-  beat.held = this->leases.Held(now);
+  beat.held_targets = this->leases.Held(now);
 }
 
 tl::expected<void, std::string> Host::State::StartServers() {
--- a/knapweedroad/host/lease_service.cc
+++ b/knapweedroad/host/lease_service.cc
@@ -55,7 +55,7 @@
   const TimePoint now = Runtime::Now();
   if (const auto* request = std::get_if<LeaseRequest>(&*message)) {
     if (request->goodbye) {
-      this->options.view.OnGoodbye(request->holder, request->incarnation);
+      this->options.view.OnShutdown(request->holder, request->incarnation);
     }
     this->Perform(this->leases.OnRequest(*request, now));
   } else {
--- a/knapweedroad/membership/heartbeat.h
+++ b/knapweedroad/membership/heartbeat.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "knapweedroad/base/id.h"
-#include "knapweedroad/membership/aged_report.h"
+#include "knapweedroad/membership/relayed_report.h"
 #include "knapweedroad/target/held_target.h"
 
 namespace knapweedroad {
@@ -24,19 +24,19 @@
   uint64_t configuration_version = 0;
   // Whether it can be granted leases now: it reaches a majority of its zone's
   // electorate and isn't leaving.
-  bool can_hold = false;
+  bool can_hold_leases = false;
   bool leaving = false;
   // All that it holds: what isn't named, it doesn't hold.
-  std::vector<HeldTarget> held;
+  std::vector<HeldTarget> held_targets;
   // Reports that it had since its last heartbeat.
-  std::vector<AgedReport> reports;
+  std::vector<RelayedReport> reports;
 
   // For cereal; <chrono>, <string> and <vector> of it are needed beside.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->host, this->zone, this->incarnation, this->sequence,
-            this->configuration_version, this->can_hold, this->leaving,
-            this->held, this->reports);
+            this->configuration_version, this->can_hold_leases, this->leaving,
+            this->held_targets, this->reports);
   }
 };
 
--- a/knapweedroad/membership/holder_directory.cc
+++ b/knapweedroad/membership/holder_directory.cc
@@ -7,23 +7,23 @@
 namespace knapweedroad {
 
 void HolderDirectory::OnHeartbeat(const Heartbeat& heartbeat, TimePoint now) {
-  this->DropHost(heartbeat.host);
-  for (const HeldTarget& held : heartbeat.held) {
+  this->RemoveHost(heartbeat.host);
+  for (const HeldTarget& held : heartbeat.held_targets) {
     this->claims[held.target][heartbeat.host] = {
         .isolated = held.isolated,
         .held_since = now - held.held_for,
-        .heard_at = now};
+        .received_at = now};
   }
 }
 
-void HolderDirectory::Drop(const TargetId& target, const HostId& host) {
+void HolderDirectory::RemoveClaim(const TargetId& target, const HostId& host) {
   const auto found = this->claims.find(target);
   if (found != this->claims.end()) {
     found->second.erase(host);
   }
 }
 
-void HolderDirectory::DropHost(const HostId& host) {
+void HolderDirectory::RemoveHost(const HostId& host) {
   for (auto& [target, by_host] : this->claims) {
     by_host.erase(host);
   }
@@ -40,16 +40,16 @@
   const auto rank = [](const Claim& claim) {
     return std::pair(!claim.isolated, claim.held_since);
   };
-  const std::pair<const HostId, Claim>* best = nullptr;
+  const std::pair<const HostId, Claim>* preferred = nullptr;
   for (const auto& item : found->second) {
-    if (now - item.second.heard_at >= this->options.claim_time) {
+    if (now - item.second.received_at >= this->options.claim_timeout) {
       continue;
     }
-    if (best == nullptr || rank(best->second) < rank(item.second)) {
-      best = &item;
+    if (preferred == nullptr || rank(preferred->second) < rank(item.second)) {
+      preferred = &item;
     }
   }
-  return best == nullptr ? std::nullopt : std::optional(best->first);
+  return preferred == nullptr ? std::nullopt : std::optional(preferred->first);
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/membership/holder_directory.h
+++ b/knapweedroad/membership/holder_directory.h
@@ -26,7 +26,7 @@
  public:
   struct Options {
     // A claim that was not repeated for this long is over.
-    Duration claim_time = std::chrono::seconds(2);
+    Duration claim_timeout = std::chrono::seconds(2);
   };
 
   explicit HolderDirectory(const Options& options) : options(options) {}
@@ -36,8 +36,8 @@
   void OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
 
   // The host says that it isn't the holder, or it has gone.
-  void Drop(const TargetId& target, const HostId& host);
-  void DropHost(const HostId& host);
+  void RemoveClaim(const TargetId& target, const HostId& host);
+  void RemoveHost(const HostId& host);
 
   std::optional<HostId> HolderOf(const TargetId& target, TimePoint now) const;
 
@@ -45,7 +45,7 @@
   struct Claim {
     bool isolated = false;
     TimePoint held_since{};
-    TimePoint heard_at{};
+    TimePoint received_at{};
   };
 
   Options options;
--- a/knapweedroad/membership/holder_directory_test.cc
+++ b/knapweedroad/membership/holder_directory_test.cc
@@ -13,43 +13,45 @@
 constexpr TimePoint kStart{seconds(100)};
 const TargetId kTarget("t");
 
-Heartbeat Claim(const char* host, Duration held_for, bool isolated = false) {
+Heartbeat MakeClaim(const char* host,
+                    Duration held_for,
+                    bool isolated = false) {
   Heartbeat heartbeat{.host = HostId(host)};
-  heartbeat.held = {{.target = kTarget,
-                     .slots = 2,
-                     .isolated = isolated,
-                     .held_for = held_for}};
+  heartbeat.held_targets = {{.target = kTarget,
+                             .slots = 2,
+                             .isolated = isolated,
+                             .held_for = held_for}};
   return heartbeat;
 }
 
 // The new holder's claim comes in, and after it one that the former holder had
 // sent before it gave the target away. The older one must not send callers
 // back.
-Test(HolderDirectory, AClaimDelayedOnItsWayReplacesNoLaterOne) {
+Test(HolderDirectory, DelayedClaimDoesNotReplaceLaterClaim) {
   HolderDirectory directory({});
-  directory.OnHeartbeat(Claim("b-new", milliseconds(10)), kStart);
-  directory.OnHeartbeat(Claim("a-old", seconds(60)), kStart);
+  directory.OnHeartbeat(MakeClaim("b-new", milliseconds(10)), kStart);
+  directory.OnHeartbeat(MakeClaim("a-old", seconds(60)), kStart);
   cr_assert(directory.HolderOf(kTarget, kStart) == HostId("b-new"));
 }
 
-Test(HolderDirectory, WhatAHostNoLongerNamesIsNotItsOwn) {
+Test(HolderDirectory, TargetMissingFromHeartbeatIsNoLongerHeld) {
   HolderDirectory directory({});
-  directory.OnHeartbeat(Claim("a", seconds(1)), kStart);
+  directory.OnHeartbeat(MakeClaim("a", seconds(1)), kStart);
   directory.OnHeartbeat({.host = HostId("a")}, kStart);
   cr_assert(!directory.HolderOf(kTarget, kStart).has_value());
 }
 
-Test(HolderDirectory, AClaimThatIsNotRepeatedEnds) {
+Test(HolderDirectory, ClaimExpiresWithoutHeartbeat) {
   HolderDirectory directory({});
-  directory.OnHeartbeat(Claim("a", seconds(1)), kStart);
+  directory.OnHeartbeat(MakeClaim("a", seconds(1)), kStart);
   cr_assert(directory.HolderOf(kTarget, kStart + seconds(1)).has_value());
   cr_assert(!directory.HolderOf(kTarget, kStart + seconds(2)).has_value());
 }
 
-Test(HolderDirectory, AMajoritysHolderGoesBeforeAnIsolatedOne) {
+Test(HolderDirectory, PrefersHolderWithMajorityToIsolatedHolder) {
   HolderDirectory directory({});
-  directory.OnHeartbeat(Claim("alone", milliseconds(1), true), kStart);
-  directory.OnHeartbeat(Claim("holder", seconds(9)), kStart);
+  directory.OnHeartbeat(MakeClaim("alone", milliseconds(1), true), kStart);
+  directory.OnHeartbeat(MakeClaim("holder", seconds(9)), kStart);
   cr_assert(directory.HolderOf(kTarget, kStart) == HostId("holder"));
 }
 
--- a/knapweedroad/membership/host_view.cc
+++ b/knapweedroad/membership/host_view.cc
@@ -25,40 +25,42 @@
     return false;
   }
   Entry& entry = found->second;
-  const auto known = std::pair(entry.status.incarnation, entry.sequence);
+  const auto latest = std::pair(entry.status.incarnation, entry.sequence);
   const bool newer =
-      std::pair(heartbeat.incarnation, heartbeat.sequence) > known;
-  const bool forgotten = heartbeat.incarnation != entry.status.incarnation &&
-                         now - entry.heard_at > this->options.forget_after;
-  if (entry.heard && !newer && !forgotten) {
+      std::pair(heartbeat.incarnation, heartbeat.sequence) > latest;
+  const bool incarnation_reset =
+      heartbeat.incarnation != entry.status.incarnation &&
+      now - entry.last_received_at > this->options.incarnation_reset_after;
+  if (entry.received && !newer && !incarnation_reset) {
     return false;
   }
   if (heartbeat.incarnation != entry.status.incarnation) {
-    entry.gone = false;
+    entry.shut_down = false;
   }
   entry.status.incarnation = heartbeat.incarnation;
   entry.sequence = heartbeat.sequence;
   entry.status.configuration_version = heartbeat.configuration_version;
   entry.status.leaving = heartbeat.leaving;
-  entry.status.can_hold = heartbeat.can_hold;
-  entry.heard = true;
-  entry.heard_at = now;
+  entry.status.can_hold_leases = heartbeat.can_hold_leases;
+  entry.received = true;
+  entry.last_received_at = now;
   return true;
 }
 
-void HostView::OnHeard(const HostId& host, TimePoint now) {
+void HostView::OnMessage(const HostId& host, TimePoint now) {
   const auto found = this->entries.find(host);
   if (found != this->entries.end()) {
-    found->second.heard = true;
-    found->second.heard_at = std::max(found->second.heard_at, now);
+    found->second.received = true;
+    found->second.last_received_at =
+        std::max(found->second.last_received_at, now);
   }
 }
 
-void HostView::OnGoodbye(const HostId& host, uint64_t incarnation) {
+void HostView::OnShutdown(const HostId& host, uint64_t incarnation) {
   const auto found = this->entries.find(host);
   if (found != this->entries.end() &&
       incarnation >= found->second.status.incarnation) {
-    found->second.gone = true;
+    found->second.shut_down = true;
     found->second.status.incarnation = incarnation;
   }
 }
@@ -72,8 +74,8 @@
 }
 
 bool HostView::IsAlive(const Entry& entry, TimePoint now) const {
-  return entry.heard && !entry.gone &&
-         now - entry.heard_at < this->options.suspect_after;
+  return entry.received && !entry.shut_down &&
+         now - entry.last_received_at < this->options.suspect_after;
 }
 
 std::vector<HostId> HostView::LeaseCandidates(const ZoneId& zone,
@@ -81,7 +83,7 @@
   std::vector<HostId> hosts;
   for (const auto& [host, entry] : this->entries) {
     if (entry.status.zone == zone && this->IsAlive(entry, now) &&
-        entry.status.can_hold && !entry.status.leaving) {
+        entry.status.can_hold_leases && !entry.status.leaving) {
       hosts.push_back(host);
     }
   }
@@ -93,19 +95,19 @@
   for (const auto& [host, entry] : this->entries) {
     HostStatus status = entry.status;
     status.alive = this->IsAlive(entry, now);
-    if (entry.heard) {
-      status.silent_for = now - entry.heard_at;
+    if (entry.received) {
+      status.silent_for = now - entry.last_received_at;
     }
     statuses.push_back(std::move(status));
   }
   return statuses;
 }
 
-uint32_t HostView::InForceOn(uint64_t configuration_version) const {
+uint32_t HostView::CountHostsWithVersion(uint64_t configuration_version) const {
   return static_cast<uint32_t>(std::count_if(
       this->entries.begin(), this->entries.end(), [&](const auto& item) {
         const uint64_t version = item.second.status.configuration_version;
-        return item.second.heard && version >= configuration_version;
+        return item.second.received && version >= configuration_version;
       }));
 }
 
--- a/knapweedroad/membership/host_view.h
+++ b/knapweedroad/membership/host_view.h
@@ -30,7 +30,7 @@
   ZoneId zone;
   bool alive = false;
   bool leaving = false;
-  bool can_hold = false;
+  bool can_hold_leases = false;
   uint64_t incarnation = 0;
   // Zero until it was heard.
   uint64_t configuration_version = 0;
@@ -47,7 +47,7 @@
     Duration suspect_after = std::chrono::seconds(1);
     // A host that comes back with an older incarnation than its last one (its
     // clock was set back) is believed again after so much silence.
-    Duration forget_after = std::chrono::seconds(10);
+    Duration incarnation_reset_after = std::chrono::seconds(10);
   };
 
   explicit HostView(const Options& options);
@@ -57,10 +57,10 @@
   bool OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
 
   // Any other message or answer of that host came in, by any channel.
-  void OnHeard(const HostId& host, TimePoint now);
+  void OnMessage(const HostId& host, TimePoint now);
 
   // It stops; it counts as gone until a heartbeat of a later incarnation.
-  void OnGoodbye(const HostId& host, uint64_t incarnation);
+  void OnShutdown(const HostId& host, uint64_t incarnation);
 
   // This host itself is always alive.
   bool IsAlive(const HostId& host, TimePoint now) const;
@@ -74,15 +74,15 @@
 
   // How many hosts, without this one, are known to have at least that version
   // in force.
-  uint32_t InForceOn(uint64_t configuration_version) const;
+  uint32_t CountHostsWithVersion(uint64_t configuration_version) const;
 
  private:
   struct Entry {
     HostStatus status;
     uint64_t sequence = 0;
-    bool heard = false;
-    bool gone = false;
-    TimePoint heard_at{};
+    bool received = false;
+    bool shut_down = false;
+    TimePoint last_received_at{};
   };
 
   bool IsAlive(const Entry& entry, TimePoint now) const;
--- a/knapweedroad/membership/host_view_test.cc
+++ b/knapweedroad/membership/host_view_test.cc
@@ -13,7 +13,7 @@
 constexpr TimePoint kStart{seconds(100)};
 const HostId kHostB("b");
 
-HostView ViewOfTwo() {
+HostView MakeTwoHostView() {
   std::vector<PeerSettings> hosts(2);
   hosts[0].name = HostId("a");
   hosts[1].name = kHostB;
@@ -21,63 +21,64 @@
   return HostView({.self = HostId("a"), .hosts = hosts});
 }
 
-Heartbeat Beat(uint64_t incarnation, uint64_t sequence) {
+Heartbeat MakeHeartbeat(uint64_t incarnation, uint64_t sequence) {
   return {.host = kHostB,
           .incarnation = incarnation,
           .sequence = sequence,
           .configuration_version = sequence,
-          .can_hold = true};
+          .can_hold_leases = true};
 }
 
-Test(HostView, AHostIsDeadUntilHeardAndAfterASecondOfSilence) {
-  HostView view = ViewOfTwo();
+Test(HostView, HostIsAliveOnlyWithinOneSecondOfItsLastHeartbeat) {
+  HostView view = MakeTwoHostView();
   cr_assert(!view.IsAlive(kHostB, kStart));
-  cr_assert(view.OnHeartbeat(Beat(1, 1), kStart));
+  cr_assert(view.OnHeartbeat(MakeHeartbeat(1, 1), kStart));
   cr_assert(view.IsAlive(kHostB, kStart + milliseconds(999)));
   cr_assert(!view.IsAlive(kHostB, kStart + seconds(1)));
 }
 
 // A firewall forgets the UDP flow between two hosts, or a TCP connection goes
 // silent. As long as anything at all comes through, the host isn't dead.
-Test(HostView, AnythingHeardOnAnyChannelIsALifeSign) {
-  HostView view = ViewOfTwo();
-  view.OnHeartbeat(Beat(1, 1), kStart);
-  view.OnHeard(kHostB, kStart + milliseconds(900));
+Test(HostView, MessageOnAnyChannelKeepsHostAlive) {
+  HostView view = MakeTwoHostView();
+  view.OnHeartbeat(MakeHeartbeat(1, 1), kStart);
+  view.OnMessage(kHostB, kStart + milliseconds(900));
   cr_assert(view.IsAlive(kHostB, kStart + milliseconds(1500)));
 }
 
-Test(HostView, AnOlderHeartbeatChangesNothing) {
-  HostView view = ViewOfTwo();
-  view.OnHeartbeat(Beat(2, 5), kStart);
-  cr_assert(!view.OnHeartbeat(Beat(2, 5), kStart), "sent over both ways");
-  cr_assert(!view.OnHeartbeat(Beat(2, 4), kStart));
-  cr_assert(!view.OnHeartbeat(Beat(1, 9), kStart));
-  cr_assert_eq(view.InForceOn(5), 1u);
-  cr_assert_eq(view.InForceOn(6), 0u);
+Test(HostView, RejectsOlderHeartbeat) {
+  HostView view = MakeTwoHostView();
+  view.OnHeartbeat(MakeHeartbeat(2, 5), kStart);
+  cr_assert(!view.OnHeartbeat(MakeHeartbeat(2, 5), kStart),
+            "sent over both ways");
+  cr_assert(!view.OnHeartbeat(MakeHeartbeat(2, 4), kStart));
+  cr_assert(!view.OnHeartbeat(MakeHeartbeat(1, 9), kStart));
+  cr_assert_eq(view.CountHostsWithVersion(5), 1u);
+  cr_assert_eq(view.CountHostsWithVersion(6), 0u);
 }
 
-Test(HostView, AClockSetBackIsBelievedAfterLongSilence) {
-  HostView view = ViewOfTwo();
-  view.OnHeartbeat(Beat(9, 5), kStart);
-  cr_assert(!view.OnHeartbeat(Beat(3, 1), kStart + seconds(5)));
-  cr_assert(view.OnHeartbeat(Beat(3, 2), kStart + seconds(11)));
+Test(HostView, AcceptsOlderIncarnationAfterTimeout) {
+  HostView view = MakeTwoHostView();
+  view.OnHeartbeat(MakeHeartbeat(9, 5), kStart);
+  cr_assert(!view.OnHeartbeat(MakeHeartbeat(3, 1), kStart + seconds(5)));
+  cr_assert(view.OnHeartbeat(MakeHeartbeat(3, 2), kStart + seconds(11)));
 }
 
 // A host says goodbye and exits. A heartbeat sent just before is delayed and
 // comes in now: no lease may be left for a host that is gone.
-Test(HostView, AGoodbyeHoldsUntilALaterIncarnation) {
-  HostView view = ViewOfTwo();
-  view.OnHeartbeat(Beat(1, 1), kStart);
-  view.OnGoodbye(kHostB, 1);
-  view.OnHeartbeat(Beat(1, 2), kStart);
+Test(HostView, ShutdownLastsUntilLaterIncarnation) {
+  HostView view = MakeTwoHostView();
+  view.OnHeartbeat(MakeHeartbeat(1, 1), kStart);
+  view.OnShutdown(kHostB, 1);
+  view.OnHeartbeat(MakeHeartbeat(1, 2), kStart);
   cr_assert(!view.IsAlive(kHostB, kStart));
-  view.OnHeartbeat(Beat(2, 1), kStart);
+  view.OnHeartbeat(MakeHeartbeat(2, 1), kStart);
   cr_assert(view.IsAlive(kHostB, kStart));
 }
 
-Test(HostView, OnlyHostsThatCanHoldAreCandidates) {
-  HostView view = ViewOfTwo();
-  Heartbeat heartbeat = Beat(1, 1);
+Test(HostView, LeavingHostIsNotALeaseCandidate) {
+  HostView view = MakeTwoHostView();
+  Heartbeat heartbeat = MakeHeartbeat(1, 1);
   view.OnHeartbeat(heartbeat, kStart);
   cr_assert_eq(view.LeaseCandidates(ZoneId("z"), kStart).size(), 1u);
   heartbeat.sequence = 2;
--- a/knapweedroad/membership/aged_report.h
+++ b/knapweedroad/membership/relayed_report.h
@@ -1,14 +1,14 @@
 // A target's report as one host passes it on to another.
 
-#ifndef KNAPWEEDROAD_MEMBERSHIP_AGED_REPORT_H_
-#define KNAPWEEDROAD_MEMBERSHIP_AGED_REPORT_H_
+#ifndef KNAPWEEDROAD_MEMBERSHIP_RELAYED_REPORT_H_
+#define KNAPWEEDROAD_MEMBERSHIP_RELAYED_REPORT_H_
 
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/target/target_report.h"
 
 namespace knapweedroad {
 
-struct AgedReport {
+struct RelayedReport {
   TargetReport report;
   // Since a host had it from the target itself.
   Duration age{};
@@ -22,4 +22,4 @@
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_MEMBERSHIP_AGED_REPORT_H_
+#endif  // KNAPWEEDROAD_MEMBERSHIP_RELAYED_REPORT_H_
--- a/knapweedroad/membership/target_directory.cc
+++ b/knapweedroad/membership/target_directory.cc
@@ -11,52 +11,56 @@
   return this->Accept(report, now, true, now);
 }
 
-bool TargetDirectory::OnPassedOn(const AgedReport& aged, TimePoint now) {
-  const Duration age = std::max<Duration>(aged.age, Duration::zero());
-  return this->Accept(aged.report, now - age, false, now);
+bool TargetDirectory::OnRelayedReport(const RelayedReport& relayed,
+                                      TimePoint now) {
+  const Duration age = std::max<Duration>(relayed.age, Duration::zero());
+  return this->Accept(relayed.report, now - age, false, now);
 }
 
 bool TargetDirectory::Accept(const TargetReport& report,
-                             TimePoint heard_at,
-                             bool first_hand,
+                             TimePoint received_at,
+                             bool from_target,
                              TimePoint now) {
-  this->Forget(now);
-  if (now - heard_at >= this->options.forget_after) {
+  this->RemoveExpired(now);
+  if (now - received_at >= this->options.expire_after) {
     return false;
   }
   const auto [found, added] = this->entries.try_emplace(report.target);
   Entry& entry = found->second;
-  const TargetReport& known = entry.report;
+  const TargetReport& previous = entry.report;
   if (!added && std::pair(report.incarnation, report.sequence) <=
-                    std::pair(known.incarnation, known.sequence)) {
+                    std::pair(previous.incarnation, previous.sequence)) {
     return false;
   }
-  const bool same_life = !added && report.incarnation == known.incarnation;
-  const bool was_leaving = same_life && known.state == TargetState::kLeaving;
-  const bool news = !same_life || report.state != known.state;
-  this->by_service[{known.front, known.service}].erase(report.target);
+  const bool same_incarnation =
+      !added && report.incarnation == previous.incarnation;
+  const bool was_leaving =
+      same_incarnation && previous.state == TargetState::kLeaving;
+  const bool state_changed =
+      !same_incarnation || report.state != previous.state;
+  this->by_service[{previous.front, previous.service}].erase(report.target);
   this->by_service[{report.front, report.service}].insert(report.target);
   entry.report = report;
-  entry.heard_at = heard_at;
+  entry.received_at = received_at;
   // A target that leaves is not chosen again in this life, whatever a report
   // composed by another of its threads says a moment later.
   if (was_leaving) {
     entry.report.state = TargetState::kLeaving;
   }
-  const bool urgent = news && report.state != TargetState::kReady;
+  const bool urgent = state_changed && report.state != TargetState::kReady;
   entry.urgent = urgent || (entry.urgent && entry.sends_left > 0);
   if (urgent) {
-    entry.sends_left = this->options.urgent_repeats;
-  } else if (first_hand) {
+    entry.sends_left = this->options.urgent_send_count;
+  } else if (from_target) {
     entry.sends_left = std::max<uint32_t>(entry.sends_left, 1);
   }
   return true;
 }
 
-void TargetDirectory::Forget(TimePoint now) {
+void TargetDirectory::RemoveExpired(TimePoint now) {
   std::erase_if(this->entries, [&](const auto& item) {
     const Entry& entry = item.second;
-    if (now - entry.heard_at < this->options.forget_after) {
+    if (now - entry.received_at < this->options.expire_after) {
       return false;
     }
     const TargetReport& report = entry.report;
@@ -67,24 +71,26 @@
                 [](const auto& item) { return item.second.empty(); });
 }
 
-std::vector<AgedReport> TargetDirectory::TakeFresh(std::size_t most,
-                                                   TimePoint now) {
-  std::vector<AgedReport> fresh;
+std::vector<RelayedReport> TargetDirectory::TakePendingReports(
+    std::size_t max_reports,
+    TimePoint now) {
+  std::vector<RelayedReport> reports;
   for (const bool urgent : {true, false}) {
     for (auto& [target, entry] : this->entries) {
-      const bool due = entry.sends_left > 0 && entry.urgent == urgent;
-      if (!due || fresh.size() >= most) {
+      const bool pending = entry.sends_left > 0 && entry.urgent == urgent;
+      if (!pending || reports.size() >= max_reports) {
         continue;
       }
       --entry.sends_left;
-      fresh.push_back({.report = entry.report, .age = now - entry.heard_at});
+      reports.push_back(
+          {.report = entry.report, .age = now - entry.received_at});
     }
   }
-  return fresh;
+  return reports;
 }
 
 bool TargetDirectory::IsStale(const Entry& entry, TimePoint now) const {
-  return now - entry.heard_at >= this->options.stale_after;
+  return now - entry.received_at >= this->options.stale_after;
 }
 
 std::vector<TargetCandidate> TargetDirectory::Candidates(
@@ -99,15 +105,17 @@
   for (const TargetId& target : targets->second) {
     const Entry& entry = this->entries.at(target);
     const TargetReport& report = entry.report;
-    const bool out =
-        this->options.zone_out && this->options.zone_out(report.zone);
+    const bool out_of_service =
+        this->options.is_zone_out_of_service &&
+        this->options.is_zone_out_of_service(report.zone);
     candidates.push_back({.target = target,
                           .zone = report.zone,
                           .state = report.state,
                           .holds = report.holds,
                           .in_flight = report.in_flight,
                           .queued = report.queued,
-                          .usable = !out && !this->IsStale(entry, now) &&
+                          .usable = !out_of_service &&
+                                    !this->IsStale(entry, now) &&
                                     report.state != TargetState::kLeaving});
   }
   return candidates;
--- a/knapweedroad/membership/target_directory.h
+++ b/knapweedroad/membership/target_directory.h
@@ -1,8 +1,8 @@
 // All targets that announced themselves to any host, by their latest report.
 //
-//   TargetDirectory directory({.zone_out = is_out});
+//   TargetDirectory directory({.is_zone_out_of_service = is_out});
 //   if (!directory.OnReport(report, now)) return Conflict();
-//   heartbeat.reports = directory.TakeFresh(kMost, now);
+//   heartbeat.reports = directory.TakePendingReports(kMost, now);
 //   auto candidates = directory.Candidates(front, service, now);
 //
 // Reports are ordered by the target's own numbers, whichever way they came. A
@@ -22,7 +22,7 @@
 
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
-#include "knapweedroad/membership/aged_report.h"
+#include "knapweedroad/membership/relayed_report.h"
 #include "knapweedroad/target/target_candidate.h"
 #include "knapweedroad/target/target_report.h"
 
@@ -32,28 +32,29 @@
  public:
   struct Options {
     // Whether operators have taken that zone out.
-    std::function<bool(const ZoneId&)> zone_out;
+    std::function<bool(const ZoneId&)> is_zone_out_of_service;
     // A target unheard for this long is no longer chosen.
     Duration stale_after = std::chrono::seconds(5);
     // A target unheard for this long is forgotten, its numbers with it.
-    Duration forget_after = std::chrono::minutes(2);
+    Duration expire_after = std::chrono::minutes(2);
     // A report that says leaving or cold is passed on so many times, as it
     // may be the last, and a lost datagram may not hide it.
-    uint32_t urgent_repeats = 5;
+    uint32_t urgent_send_count = 5;
   };
 
   explicit TargetDirectory(Options options);
 
-  // From the target itself. False where a newer one is known.
+  // From the target itself. False where a newer one is previous.
   bool OnReport(const TargetReport& report, TimePoint now);
 
   // From another host; the same.
-  bool OnPassedOn(const AgedReport& aged, TimePoint now);
+  bool OnRelayedReport(const RelayedReport& relayed, TimePoint now);
 
   // Up to `most` reports for the next heartbeat, the urgent ones first. Those
   // had from a target itself are passed on once; news of a state, from
   // wherever, some times more.
-  std::vector<AgedReport> TakeFresh(std::size_t most, TimePoint now);
+  std::vector<RelayedReport> TakePendingReports(std::size_t max_reports,
+                                                TimePoint now);
 
   // The service's targets. One that may get no new work is among them, marked.
   std::vector<TargetCandidate> Candidates(const FrontId& front,
@@ -70,17 +71,17 @@
  private:
   struct Entry {
     TargetReport report;
-    TimePoint heard_at{};
+    TimePoint received_at{};
     uint32_t sends_left = 0;
     bool urgent = false;
   };
   using ServiceKey = std::pair<FrontId, ServiceId>;
 
   bool Accept(const TargetReport& report,
-              TimePoint heard_at,
-              bool first_hand,
+              TimePoint received_at,
+              bool from_target,
               TimePoint now);
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
   bool IsStale(const Entry& entry, TimePoint now) const;
 
   Options options;
--- a/knapweedroad/membership/target_directory_test.cc
+++ b/knapweedroad/membership/target_directory_test.cc
@@ -12,9 +12,9 @@
 const FrontId kFront("f");
 const ServiceId kService("s");
 
-TargetReport Report(uint64_t incarnation,
-                    uint64_t sequence,
-                    TargetState state = TargetState::kReady) {
+TargetReport MakeReport(uint64_t incarnation,
+                        uint64_t sequence,
+                        TargetState state = TargetState::kReady) {
   return {.target = TargetId("t"),
           .front = kFront,
           .service = kService,
@@ -24,79 +24,83 @@
           .state = state};
 }
 
-bool Usable(const TargetDirectory& directory, TimePoint now) {
+bool IsUsable(const TargetDirectory& directory, TimePoint now) {
   return directory.Candidates(kFront, kService, now).at(0).usable;
 }
 
-Test(TargetDirectory, AnOlderReportNeverReplacesANewer) {
+Test(TargetDirectory, RejectsOlderReport) {
   TargetDirectory directory({});
-  cr_assert(directory.OnReport(Report(2, 5), kStart));
-  cr_assert(!directory.OnReport(Report(2, 4, TargetState::kCold), kStart));
-  cr_assert(!directory.OnReport(Report(1, 90), kStart));
-  cr_assert(directory.OnReport(Report(3, 0), kStart));
+  cr_assert(directory.OnReport(MakeReport(2, 5), kStart));
+  cr_assert(!directory.OnReport(MakeReport(2, 4, TargetState::kCold), kStart));
+  cr_assert(!directory.OnReport(MakeReport(1, 90), kStart));
+  cr_assert(directory.OnReport(MakeReport(3, 0), kStart));
 }
 
-Test(TargetDirectory, ATargetUnheardForFiveSecondsIsNotChosen) {
+Test(TargetDirectory, TargetIsUnusableFiveSecondsAfterItsLastReport) {
   TargetDirectory directory({});
-  directory.OnReport(Report(1, 1), kStart);
-  cr_assert(Usable(directory, kStart + milliseconds(4999)));
-  cr_assert(!Usable(directory, kStart + seconds(5)));
+  directory.OnReport(MakeReport(1, 1), kStart);
+  cr_assert(IsUsable(directory, kStart + milliseconds(4999)));
+  cr_assert(!IsUsable(directory, kStart + seconds(5)));
 }
 
 // A target dies. A host that has just started hears of it from its peers, who
 // repeat its last report: it must not take a dead target for a fresh one.
-Test(TargetDirectory, APassedOnReportIsAsOldAsItIs) {
+Test(TargetDirectory, RelayedReportKeepsItsAge) {
   TargetDirectory directory({});
-  directory.OnPassedOn({.report = Report(1, 1), .age = seconds(4)}, kStart);
-  cr_assert(Usable(directory, kStart));
-  cr_assert(!Usable(directory, kStart + seconds(1)));
-  directory.OnPassedOn({.report = Report(1, 1), .age = {}}, kStart);
-  cr_assert(!Usable(directory, kStart + seconds(1)));
+  directory.OnRelayedReport({.report = MakeReport(1, 1), .age = seconds(4)},
+                            kStart);
+  cr_assert(IsUsable(directory, kStart));
+  cr_assert(!IsUsable(directory, kStart + seconds(1)));
+  directory.OnRelayedReport({.report = MakeReport(1, 1), .age = {}}, kStart);
+  cr_assert(!IsUsable(directory, kStart + seconds(1)));
 }
 
 // The announcement of leaving is overtaken by a report that another thread of
 // the target had composed before, with a higher number.
-Test(TargetDirectory, LeavingHoldsUntilTheNextIncarnation) {
+Test(TargetDirectory, LeavingLastsUntilNextIncarnation) {
   TargetDirectory directory({});
-  directory.OnReport(Report(1, 1, TargetState::kLeaving), kStart);
-  directory.OnReport(Report(1, 2, TargetState::kReady), kStart);
-  cr_assert(!Usable(directory, kStart));
-  directory.OnReport(Report(2, 0), kStart);
-  cr_assert(Usable(directory, kStart));
+  directory.OnReport(MakeReport(1, 1, TargetState::kLeaving), kStart);
+  directory.OnReport(MakeReport(1, 2, TargetState::kReady), kStart);
+  cr_assert(!IsUsable(directory, kStart));
+  directory.OnReport(MakeReport(2, 0), kStart);
+  cr_assert(IsUsable(directory, kStart));
 }
 
-Test(TargetDirectory, NoTargetOfAZoneThatIsOutIsUsable) {
-  bool out = true;
-  TargetDirectory directory({.zone_out = [&](const ZoneId&) { return out; }});
-  directory.OnReport(Report(1, 1), kStart);
-  cr_assert(!Usable(directory, kStart));
-  out = false;
-  cr_assert(Usable(directory, kStart));
+Test(TargetDirectory, TargetIsUnusableWhileItsZoneIsOutOfService) {
+  bool out_of_service = true;
+  TargetDirectory directory({.is_zone_out_of_service = [&](const ZoneId&) {
+    return out_of_service;
+  }});
+  directory.OnReport(MakeReport(1, 1), kStart);
+  cr_assert(!IsUsable(directory, kStart));
+  out_of_service = false;
+  cr_assert(IsUsable(directory, kStart));
 }
 
-Test(TargetDirectory, PassesOnOnceAndUrgentNewsMoreOften) {
-  TargetDirectory directory({.urgent_repeats = 3});
-  directory.OnReport(Report(1, 1), kStart);
-  cr_assert_eq(directory.TakeFresh(9, kStart).size(), 1u);
-  cr_assert(directory.TakeFresh(9, kStart).empty());
-  directory.OnPassedOn({.report = Report(1, 2), .age = {}}, kStart);
-  cr_assert(directory.TakeFresh(9, kStart).empty(), "second-hand");
-  const AgedReport leaving{.report = Report(1, 3, TargetState::kLeaving),
-                           .age = milliseconds(5)};
-  directory.OnPassedOn(leaving, kStart);
+Test(TargetDirectory, RelaysReportOnceAndUrgentReportRepeatedly) {
+  TargetDirectory directory({.urgent_send_count = 3});
+  directory.OnReport(MakeReport(1, 1), kStart);
+  cr_assert_eq(directory.TakePendingReports(9, kStart).size(), 1u);
+  cr_assert(directory.TakePendingReports(9, kStart).empty());
+  directory.OnRelayedReport({.report = MakeReport(1, 2), .age = {}}, kStart);
+  cr_assert(directory.TakePendingReports(9, kStart).empty(), "second-hand");
+  const RelayedReport leaving{.report = MakeReport(1, 3, TargetState::kLeaving),
+                              .age = milliseconds(5)};
+  directory.OnRelayedReport(leaving, kStart);
   for (int i = 0; i < 3; ++i) {
-    const auto fresh = directory.TakeFresh(9, kStart + milliseconds(i));
-    cr_assert_eq(fresh.size(), 1u);
-    cr_assert(fresh.at(0).age == milliseconds(5 + i));
+    const auto reports =
+        directory.TakePendingReports(9, kStart + milliseconds(i));
+    cr_assert_eq(reports.size(), 1u);
+    cr_assert(reports.at(0).age == milliseconds(5 + i));
   }
-  cr_assert(directory.TakeFresh(9, kStart).empty());
+  cr_assert(directory.TakePendingReports(9, kStart).empty());
 }
 
-Test(TargetDirectory, ForgetsAfterALongSilence) {
+Test(TargetDirectory, RemovesTargetAfterExpiry) {
   TargetDirectory directory({});
-  directory.OnReport(Report(9, 1), kStart);
+  directory.OnReport(MakeReport(9, 1), kStart);
   const TimePoint later = kStart + seconds(121);
-  cr_assert(directory.OnReport(Report(1, 1), later), "a clock set back");
+  cr_assert(directory.OnReport(MakeReport(1, 1), later), "a clock set back");
 }
 
 }  // namespace
