--- a/knapweedroad/host/control_replica.cc
+++ b/knapweedroad/host/control_replica.cc
@@ -141,7 +141,7 @@
   this->store = *std::move(opened);
   if (unreadable.has_value()) {
     return tl::unexpected(StorageError{
-        .kind = StorageErrorKind::kDamaged,
+        .kind = StorageErrorKind::kCorrupted,
         .path = this->options.folder,
         .detail = "a whole record can't be read (written by another version "
                   "of the program?): " +
@@ -157,7 +157,7 @@
   }
   if (this->acceptor->id().host != this->options.host) {
     return tl::unexpected(StorageError{
-        .kind = StorageErrorKind::kDamaged,
+        .kind = StorageErrorKind::kCorrupted,
         .path = this->options.folder,
         .detail = "the data folder belongs to host '" +
                   this->acceptor->id().host.str() +
@@ -167,7 +167,7 @@
   LogLine("control_replica_open")
       .Add("member", this->self)
       .Add("records", this->store->stats().records_read)
-      .Add("torn_bytes_cut", this->store->stats().torn_bytes_cut)
+      .Add("torn_bytes_cut", this->store->stats().torn_bytes_truncated)
       .Info();
   return {};
 }
--- a/knapweedroad/storage/record_format.cc
+++ b/knapweedroad/storage/record_format.cc
@@ -7,7 +7,7 @@
 
 constexpr uint32_t kMagic = 0x4452574b;
 constexpr uint32_t kKindRecord = 1;
-constexpr uint32_t kKindMark = 2;
+constexpr uint32_t kKindSyncMarker = 2;
 constexpr size_t kHashedHeaderBytes = kRecordHeaderBytes - sizeof(uint64_t);
 
 struct Header {
@@ -25,7 +25,7 @@
 }
 
 template <typename Number>
-Number TakeNumber(std::string_view& bytes) {
+Number ReadNumber(std::string_view& bytes) {
   Number number = 0;
   for (size_t i = 0; i < sizeof(Number); ++i) {
     number |= static_cast<Number>(static_cast<unsigned char>(bytes[i]))
@@ -55,28 +55,28 @@
     return std::nullopt;
   }
   const uint64_t hash = Hash(bytes.substr(0, kHashedHeaderBytes));
-  if (TakeNumber<uint32_t>(bytes) != kMagic) {
+  if (ReadNumber<uint32_t>(bytes) != kMagic) {
     return std::nullopt;
   }
   Header header;
-  header.kind = TakeNumber<uint32_t>(bytes);
-  header.sequence = TakeNumber<uint64_t>(bytes);
-  header.length = TakeNumber<uint64_t>(bytes);
-  header.payload_hash = TakeNumber<uint64_t>(bytes);
-  if (TakeNumber<uint64_t>(bytes) != hash) {
+  header.kind = ReadNumber<uint32_t>(bytes);
+  header.sequence = ReadNumber<uint64_t>(bytes);
+  header.length = ReadNumber<uint64_t>(bytes);
+  header.payload_hash = ReadNumber<uint64_t>(bytes);
+  if (ReadNumber<uint64_t>(bytes) != hash) {
     return std::nullopt;
   }
   return header;
 }
 
-bool HasHeader(std::string_view bytes) {
+bool ContainsHeader(std::string_view bytes) {
   const std::string magic = EncodeHeader({}).substr(0, sizeof(kMagic));
-  size_t at = bytes.find(magic);
-  while (at != std::string_view::npos) {
-    if (ParseHeader(bytes.substr(at)).has_value()) {
+  size_t position = bytes.find(magic);
+  while (position != std::string_view::npos) {
+    if (ParseHeader(bytes.substr(position)).has_value()) {
       return true;
     }
-    at = bytes.find(magic, at + 1);
+    position = bytes.find(magic, position + 1);
   }
   return false;
 }
@@ -89,10 +89,10 @@
   if (!header.has_value()) {
     return std::nullopt;
   }
-  if (header->kind == kKindMark) {
-    const bool marks_last =
+  if (header->kind == kKindSyncMarker) {
+    const bool follows_its_record =
         !records.empty() && records.back().sequence == header->sequence;
-    return marks_last ? header : std::nullopt;
+    return follows_its_record ? header : std::nullopt;
   }
   const bool in_order =
       records.empty() || records.back().sequence + 1 == header->sequence;
@@ -116,19 +116,19 @@
   return bytes;
 }
 
-std::string EncodeSyncMark(uint64_t sequence) {
-  return EncodeHeader({.kind = kKindMark, .sequence = sequence});
+std::string EncodeSyncMarker(uint64_t sequence) {
+  return EncodeHeader({.kind = kKindSyncMarker, .sequence = sequence});
 }
 
 ParsedRecords ParseRecords(std::string_view bytes) {
   ParsedRecords parsed;
-  while (parsed.whole_bytes < bytes.size()) {
-    const std::string_view rest = bytes.substr(parsed.whole_bytes);
+  while (parsed.valid_bytes < bytes.size()) {
+    const std::string_view rest = bytes.substr(parsed.valid_bytes);
     const auto header = ParseNext(rest, parsed.records);
     if (!header.has_value()) {
       // The first byte may belong to the damaged header itself.
-      if (HasHeader(rest.substr(1))) {
-        parsed.damaged_at = parsed.whole_bytes;
+      if (ContainsHeader(rest.substr(1))) {
+        parsed.corruption_offset = parsed.valid_bytes;
       }
       return parsed;
     }
@@ -136,7 +136,7 @@
       parsed.records.push_back(
           {header->sequence, rest.substr(kRecordHeaderBytes, header->length)});
     }
-    parsed.whole_bytes += kRecordHeaderBytes + header->length;
+    parsed.valid_bytes += kRecordHeaderBytes + header->length;
   }
   return parsed;
 }
--- a/knapweedroad/storage/record_format.h
+++ b/knapweedroad/storage/record_format.h
@@ -1,6 +1,6 @@
 // The layout of records in a file, without I/O.
 //
-//   std::string bytes = EncodeRecord(7, payload) + EncodeSyncMark(7);
+//   std::string bytes = EncodeRecord(7, payload) + EncodeSyncMarker(7);
 //   ParsedRecords parsed = ParseRecords(bytes);
 //
 // A record is a header of 40 bytes (magic, kind, sequence, length, hash of the
@@ -31,14 +31,14 @@
   // Views into the parsed bytes.
   std::vector<ParsedRecord> records;
   // Where the whole records and marks end; what follows is a torn tail.
-  size_t whole_bytes = 0;
+  size_t valid_bytes = 0;
   // The place of damage that is no torn tail.
-  std::optional<size_t> damaged_at;
+  std::optional<size_t> corruption_offset;
 };
 
 std::string EncodeRecord(uint64_t sequence, std::string_view payload);
 
-std::string EncodeSyncMark(uint64_t sequence);
+std::string EncodeSyncMarker(uint64_t sequence);
 
 // Sequences rise by one from the first record on.
 ParsedRecords ParseRecords(std::string_view bytes);
--- a/knapweedroad/storage/record_fuzz.cc
+++ b/knapweedroad/storage/record_fuzz.cc
@@ -24,19 +24,22 @@
   }
 }
 
-void CheckDamaged(std::string_view payload, size_t at, char flip) {
+void CheckCorruptedRecords(std::string_view payload,
+                           size_t offset,
+                           char xor_mask) {
   std::string bytes;
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
-    bytes += EncodeRecord(sequence, payload) + EncodeSyncMark(sequence);
+    bytes += EncodeRecord(sequence, payload) + EncodeSyncMarker(sequence);
   }
-  at %= bytes.size();
-  const size_t each = bytes.size() / 3;
-  bytes[at] = static_cast<char>(bytes[at] ^ flip);
+  offset %= bytes.size();
+  const size_t entry_bytes = bytes.size() / 3;
+  bytes[offset] = static_cast<char>(bytes[offset] ^ xor_mask);
   const ParsedRecords parsed = ParseRecords(bytes);
-  const bool damage_in_last_mark = at >= bytes.size() - kRecordHeaderBytes;
-  Require(flip == 0 || damage_in_last_mark ||
-          parsed.damaged_at == (at / each) * each ||
-          parsed.damaged_at == (at / each) * each + each - kRecordHeaderBytes);
+  const bool in_last_sync_marker = offset >= bytes.size() - kRecordHeaderBytes;
+  Require(xor_mask == 0 || in_last_sync_marker ||
+          parsed.corruption_offset == (offset / entry_bytes) * entry_bytes ||
+          parsed.corruption_offset == (offset / entry_bytes) * entry_bytes +
+                                          entry_bytes - kRecordHeaderBytes);
   for (const ParsedRecord& record : parsed.records) {
     Require(record.payload == payload);
   }
@@ -47,10 +50,10 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const ParsedRecords parsed = ParseRecords(bytes);
-  Require(parsed.whole_bytes <= size);
+  Require(parsed.valid_bytes <= size);
   if (size >= 3) {
-    CheckDamaged(bytes.substr(3), data[0] * 256 + data[1],
-                 static_cast<char>(data[2]));
+    CheckCorruptedRecords(bytes.substr(3), data[0] * 256 + data[1],
+                          static_cast<char>(data[2]));
   }
   return 0;
 }
--- a/knapweedroad/storage/record_store.cc
+++ b/knapweedroad/storage/record_store.cc
@@ -26,8 +26,8 @@
 constexpr std::string_view kTemporarySuffix = ".tmp";
 constexpr const char* kLockName = "/lock";
 constexpr mode_t kFileMode = 0640;
-constexpr uint64_t kSnapshotShare = 8;
-constexpr std::string_view kDamageRemedy =
+constexpr uint64_t kMinFileToSnapshotRatio = 8;
+constexpr std::string_view kCorruptionRemedy =
     "; what had been synced is damaged. Don't delete single files: move the "
     "whole data folder away and replace this replica by a new one (its host "
     "joins blank under the same name)";
@@ -61,12 +61,12 @@
           .detail = std::string(call) + ": " + std::strerror(errno)};
 }
 
-StorageError Damage(std::string path, uint64_t offset) {
-  return {.kind = StorageErrorKind::kDamaged,
+StorageError CorruptionError(std::string path, uint64_t offset) {
+  return {.kind = StorageErrorKind::kCorrupted,
           .path = std::move(path),
           .offset = offset,
           .detail = "bad record at byte " + std::to_string(offset) +
-                    std::string(kDamageRemedy)};
+                    std::string(kCorruptionRemedy)};
 }
 
 }  // namespace
@@ -90,7 +90,7 @@
   if (auto locked = store->LockFolder(); !locked.has_value()) {
     return tl::unexpected(locked.error());
   }
-  if (auto read = store->ReadNewest(replay); !read.has_value()) {
+  if (auto read = store->ReplayNewestFile(replay); !read.has_value()) {
     return tl::unexpected(read.error());
   }
   return store;
@@ -119,14 +119,14 @@
   return {};
 }
 
-RecordStore::Outcome RecordStore::ReadNewest(
+RecordStore::Outcome RecordStore::ReplayNewestFile(
     const std::function<void(std::string_view)>& replay) {
   const std::vector<uint64_t> numbers = ListFiles(this->options.folder);
   if (numbers.empty()) {
     return {};
   }
   this->file_number = numbers.back();
-  const std::string path = this->PathOf(this->file_number);
+  const std::string path = this->FilePath(this->file_number);
   this->file = open(path.c_str(), O_RDWR | O_CLOEXEC);
   if (this->file < 0) {
     return tl::unexpected(IoError(path, "open"));
@@ -136,11 +136,12 @@
   const std::string bytes = std::move(content).str();
   const ParsedRecords parsed = ParseRecords(bytes);
   // A file is renamed into place only once its first record is synced.
-  if (parsed.damaged_at.has_value() || parsed.records.empty()) {
-    return tl::unexpected(Damage(path, parsed.damaged_at.value_or(0)));
+  if (parsed.corruption_offset.has_value() || parsed.records.empty()) {
+    return tl::unexpected(
+        CorruptionError(path, parsed.corruption_offset.value_or(0)));
   }
-  this->counters.torn_bytes_cut = bytes.size() - parsed.whole_bytes;
-  if (ftruncate(this->file, static_cast<off_t>(parsed.whole_bytes)) != 0) {
+  this->counters.torn_bytes_truncated = bytes.size() - parsed.valid_bytes;
+  if (ftruncate(this->file, static_cast<off_t>(parsed.valid_bytes)) != 0) {
     return tl::unexpected(IoError(path, "ftruncate"));
   }
   if (auto synced = this->Sync(this->file, path); !synced.has_value()) {
@@ -152,10 +153,10 @@
   }
   for (const uint64_t number : numbers) {
     if (number != this->file_number) {
-      unlink(this->PathOf(number).c_str());
+      unlink(this->FilePath(number).c_str());
     }
   }
-  this->file_bytes = parsed.whole_bytes;
+  this->file_bytes = parsed.valid_bytes;
   this->first_record_bytes = parsed.records.front().payload.size();
   this->next_sequence = parsed.records.back().sequence + 1;
   this->counters.records_read = parsed.records.size();
@@ -177,16 +178,17 @@
   if (this->file < 0) {
     return this->StartFile(record);
   }
-  const uint64_t limit = std::max(this->options.max_file_bytes,
-                                  kSnapshotShare * this->first_record_bytes);
-  if (this->file_bytes > limit) {
+  const uint64_t max_bytes =
+      std::max(this->options.max_file_bytes,
+               kMinFileToSnapshotRatio * this->first_record_bytes);
+  if (this->file_bytes > max_bytes) {
     return this->StartFile(this->options.snapshot());
   }
   return this->AppendToFile(record);
 }
 
 RecordStore::Outcome RecordStore::AppendToFile(std::string_view record) {
-  const std::string path = this->PathOf(this->file_number);
+  const std::string path = this->FilePath(this->file_number);
   const std::string bytes = EncodeRecord(this->next_sequence, record);
   if (auto written = this->WriteAll(this->file, bytes); !written.has_value()) {
     return written;
@@ -194,8 +196,8 @@
   if (auto synced = this->Sync(this->file, path); !synced.has_value()) {
     return synced;
   }
-  const std::string mark = EncodeSyncMark(this->next_sequence);
-  if (auto written = this->WriteAll(this->file, mark); !written.has_value()) {
+  const std::string marker = EncodeSyncMarker(this->next_sequence);
+  if (auto written = this->WriteAll(this->file, marker); !written.has_value()) {
     return written;
   }
   ++this->next_sequence;
@@ -203,7 +205,7 @@
 }
 
 RecordStore::Outcome RecordStore::StartFile(std::string_view first_record) {
-  const std::string path = this->PathOf(this->file_number + 1);
+  const std::string path = this->FilePath(this->file_number + 1);
   const std::string temporary = path + std::string(kTemporarySuffix);
   const int next = open(temporary.c_str(),
                         O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
@@ -216,7 +218,7 @@
   }
   this->file_bytes = 0;
   const std::string bytes = EncodeRecord(this->next_sequence, first_record) +
-                            EncodeSyncMark(this->next_sequence);
+                            EncodeSyncMarker(this->next_sequence);
   if (auto written = this->WriteAll(next, bytes); !written.has_value()) {
     return written;
   }
@@ -230,10 +232,10 @@
       !synced.has_value()) {
     return synced;
   }
-  unlink(this->PathOf(this->file_number).c_str());
+  unlink(this->FilePath(this->file_number).c_str());
   ++this->file_number;
   ++this->next_sequence;
-  ++this->counters.files_made;
+  ++this->counters.files_created;
   this->first_record_bytes = first_record.size();
   return {};
 }
@@ -268,12 +270,13 @@
 }
 
 RecordStore::Outcome RecordStore::SyncFolder(const std::string& folder) {
-  const int handle = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (handle < 0) {
+  const int folder_file =
+      open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (folder_file < 0) {
     return this->Fail(folder, "open");
   }
-  auto synced = this->Sync(handle, folder);
-  close(handle);
+  auto synced = this->Sync(folder_file, folder);
+  close(folder_file);
   return synced;
 }
 
@@ -283,7 +286,7 @@
   return tl::unexpected(IoError(std::move(path), call));
 }
 
-std::string RecordStore::PathOf(uint64_t number) const {
+std::string RecordStore::FilePath(uint64_t number) const {
   return this->options.folder + "/" + std::string(kFilePrefix) +
          std::to_string(number);
 }
--- a/knapweedroad/storage/record_store.h
+++ b/knapweedroad/storage/record_store.h
@@ -40,10 +40,10 @@
   uint64_t appends = 0;
   uint64_t syncs = 0;
   uint64_t bytes_written = 0;
-  uint64_t files_made = 0;
+  uint64_t files_created = 0;
   // By Open().
   uint64_t records_read = 0;
-  uint64_t torn_bytes_cut = 0;
+  uint64_t torn_bytes_truncated = 0;
 };
 
 // Guards against four failures:
@@ -78,14 +78,14 @@
 
   using Outcome = tl::expected<void, StorageError>;
   Outcome LockFolder();
-  Outcome ReadNewest(const std::function<void(std::string_view)>& replay);
+  Outcome ReplayNewestFile(const std::function<void(std::string_view)>& replay);
   Outcome AppendToFile(std::string_view record);
   Outcome StartFile(std::string_view first_record);
   Outcome WriteAll(int file, std::string_view bytes);
   Outcome Sync(int file, const std::string& path);
   Outcome SyncFolder(const std::string& folder);
   Outcome Fail(std::string path, std::string_view call);
-  std::string PathOf(uint64_t number) const;
+  std::string FilePath(uint64_t number) const;
 
   RecordStoreOptions options;
   RecordStoreStats counters;
--- a/knapweedroad/storage/record_store_test.cc
+++ b/knapweedroad/storage/record_store_test.cc
@@ -13,14 +13,14 @@
 namespace {
 
 // A data folder that is gone with the test; its state is the last record.
-class Folder {
+class TestDataFolder {
  public:
-  Folder() {
+  TestDataFolder() {
     std::string pattern =
         (std::filesystem::temp_directory_path() / "kwr-XXXXXX").string();
     this->folder = mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(this->folder); }
+  ~TestDataFolder() { std::filesystem::remove_all(this->folder); }
 
   auto Open(uint64_t max_file_bytes = 1 << 20) {
     this->records.clear();
@@ -40,7 +40,7 @@
   }
 
   // Writes three records and closes.
-  void WriteThree() {
+  void WriteThreeRecords() {
     auto store = this->Open();
     for (const char* record : {"one", "two", "three"}) {
       cr_assert(this->Append(**store, record));
@@ -58,7 +58,7 @@
   }
 
   // Turns over the byte `from_end` bytes before the end.
-  void Damage(size_t from_end) const {
+  void InvertByte(size_t from_end) const {
     std::fstream file(this->NewestFile(),
                       std::ios::in | std::ios::out | std::ios::binary);
     file.seekg(-static_cast<std::streamoff>(from_end), std::ios::end);
@@ -67,7 +67,7 @@
     file.put(static_cast<char>(~byte));
   }
 
-  void CutEnd(size_t bytes) const {
+  void TruncateEnd(size_t bytes) const {
     const auto path = this->NewestFile();
     std::filesystem::resize_file(path,
                                  std::filesystem::file_size(path) - bytes);
@@ -80,11 +80,11 @@
 };
 
 using Records = std::vector<std::string>;
-constexpr size_t kMark = 40;
+constexpr size_t kSyncMarkerBytes = 40;
 
-Test(RecordStore, HandsOutWhatWasAppended) {
-  Folder folder;
-  folder.WriteThree();
+Test(RecordStore, ReplaysAppendedRecords) {
+  TestDataFolder folder;
+  folder.WriteThreeRecords();
   cr_assert(folder.Open().has_value());
   const Records expected = {"one", "two", "three"};
   cr_assert(folder.records == expected);
@@ -93,11 +93,12 @@
 // A replica loses power in the middle of a write and won't start, or starts
 // from garbage. Cause: the half-written record wasn't told from a whole one.
 // It had not been synced, so nothing was answered for it.
-Test(RecordStore, ATornTailIsCutAndWritingGoesOn) {
-  for (size_t cut = kMark + 1; cut < 2 * kMark + 5; ++cut) {
-    Folder folder;
-    folder.WriteThree();
-    folder.CutEnd(cut);
+Test(RecordStore, TruncatesTornTailAndContinuesAppending) {
+  for (size_t cut = kSyncMarkerBytes + 1; cut < 2 * kSyncMarkerBytes + 5;
+       ++cut) {
+    TestDataFolder folder;
+    folder.WriteThreeRecords();
+    folder.TruncateEnd(cut);
     {
       auto store = folder.Open();
       cr_assert(store.has_value());
@@ -112,29 +113,30 @@
 // A disk returns other bytes than were synced, in the last record of all. The
 // replica starts from the record before, forgets a vote it has answered, and
 // an accepted change reverts. Cause: damage was taken for a torn tail.
-Test(RecordStore, DamageToASyncedRecordIsRefusedWithItsPlace) {
-  const size_t last_record = kMark + 5 + kMark;
-  for (size_t from_end = kMark + 1; from_end <= last_record; ++from_end) {
-    Folder folder;
-    folder.WriteThree();
-    folder.Damage(from_end);
+Test(RecordStore, OpenRejectsCorruptedRecordWithItsOffset) {
+  const size_t last_record = kSyncMarkerBytes + 5 + kSyncMarkerBytes;
+  for (size_t from_end = kSyncMarkerBytes + 1; from_end <= last_record;
+       ++from_end) {
+    TestDataFolder folder;
+    folder.WriteThreeRecords();
+    folder.InvertByte(from_end);
     const auto store = folder.Open();
     cr_assert(!store.has_value(), "byte %zu from the end", from_end);
-    cr_assert(store.error().kind == StorageErrorKind::kDamaged);
-    cr_assert(store.error().offset == 2 * (2 * kMark + 3));
+    cr_assert(store.error().kind == StorageErrorKind::kCorrupted);
+    cr_assert(store.error().offset == 2 * (2 * kSyncMarkerBytes + 3));
     cr_assert(folder.records.empty());
   }
 }
 
-Test(RecordStore, AnEmptyNewestFileIsDamage) {
-  Folder folder;
-  folder.WriteThree();
+Test(RecordStore, OpenReportsEmptyNewestFileAsCorrupted) {
+  TestDataFolder folder;
+  folder.WriteThreeRecords();
   std::filesystem::resize_file(folder.NewestFile(), 0);
-  cr_assert(folder.Open().error().kind == StorageErrorKind::kDamaged);
+  cr_assert(folder.Open().error().kind == StorageErrorKind::kCorrupted);
 }
 
-Test(RecordStore, TwoProcessesCannotShareAFolder) {
-  Folder folder;
+Test(RecordStore, OpenRejectsLockedFolder) {
+  TestDataFolder folder;
   const auto first = folder.Open();
   cr_assert(first.has_value());
   cr_assert(folder.Open().error().kind == StorageErrorKind::kLocked);
@@ -142,8 +144,8 @@
 
 // A sync fails, the next one succeeds, and the replica answers for a record
 // that the kernel has dropped. Cause: a failed sync was tried again.
-Test(RecordStore, AfterAFailedSyncNothingIsTakenAnyMore) {
-  Folder folder;
+Test(RecordStore, RejectsAppendsAfterFailedSync) {
+  TestDataFolder folder;
   auto store = folder.Open();
   cr_assert(folder.Append(**store, "one"));
   folder.sync_fails = true;
@@ -152,14 +154,14 @@
   cr_assert(!folder.Append(**store, "three"));
 }
 
-Test(RecordStore, ALongFileIsFollowedByOneThatStartsWithASnapshot) {
-  Folder folder;
+Test(RecordStore, StartsNewFileWithSnapshotAfterSizeLimit) {
+  TestDataFolder folder;
   {
     auto store = folder.Open(/*max_file_bytes=*/500);
     for (int i = 0; i < 100; ++i) {
       cr_assert(folder.Append(**store, "state " + std::to_string(i)));
     }
-    cr_assert((*store)->stats().files_made > 5);
+    cr_assert((*store)->stats().files_created > 5);
   }
   cr_assert(folder.Open().has_value());
   cr_assert(folder.records.size() < 10);
@@ -168,9 +170,9 @@
 
 // Power fails while a new file takes over: it has no name yet, or the old one
 // isn't removed yet. Either way the last synced state is there.
-Test(RecordStore, AnInterruptedTakeOverLosesNothing) {
-  Folder folder;
-  folder.WriteThree();
+Test(RecordStore, RecoversFromInterruptedFileReplacement) {
+  TestDataFolder folder;
+  folder.WriteThreeRecords();
   const auto newest = folder.NewestFile();
   const auto temporary = folder.folder + "/state-2.tmp";
   std::ofstream(temporary) << "half";
@@ -182,8 +184,8 @@
 }
 
 // The syncs of one append: what a change costs.
-Test(RecordStore, AnAppendIsOneSync) {
-  Folder folder;
+Test(RecordStore, AppendSyncsOnce) {
+  TestDataFolder folder;
   auto store = folder.Open();
   cr_assert(folder.Append(**store, "one"));
   const uint64_t before = (*store)->stats().syncs;
--- a/knapweedroad/storage/storage_error.h
+++ b/knapweedroad/storage/storage_error.h
@@ -9,10 +9,10 @@
 namespace knapweedroad {
 
 enum class StorageErrorKind : uint8_t {
-  kLocked,   // another process uses the folder
-  kIo,       // a call on a file failed; nothing was acknowledged
-  kDamaged,  // what had been synced reads differently: never started from
-  kFailed,   // an earlier write or sync failed: the store takes no more
+  kLocked,     // another process uses the folder
+  kIo,         // a call on a file failed; nothing was acknowledged
+  kCorrupted,  // what had been synced reads differently: never started from
+  kFailed,     // an earlier write or sync failed: the store takes no more
 };
 
 struct StorageError {
