--- a/knapweedroad/routing/balanced_target.h
+++ b/knapweedroad/routing/balanced_target.h
@@ -1,5 +1,5 @@
-// What an entry host knows of one target, its record and the outcomes of
-// attempts, and of a service.
+// The state that a LoadBalancer keeps for each target and for each service: the
+// target's record, the outcomes of attempts, and the results of health probes.
 
 #ifndef KNAPWEEDROAD_ROUTING_BALANCED_TARGET_H_
 #define KNAPWEEDROAD_ROUTING_BALANCED_TARGET_H_
@@ -21,13 +21,15 @@
 
 struct BalancedService {
   std::vector<BalancedTarget*> targets;
-  // Smoothed over its targets, in ns.
+  // Smoothed latency of all targets, in ns; zero until the first answer.
   double latency_ns = 0;
-  // As configured, for each target, from all hosts together; zero: unknown.
+  // The configured number of connections that each target accepts from all
+  // entry hosts together; zero if unknown.
   size_t max_connections = 0;
-  // Requests a second that a cold target bears.
+  // The configured number of requests per second that a cold target can serve.
   double cold_rate = 0;
-  // Absent: nobody has ordered a roll-out, and `version` gets all.
+  // How requests are divided between versions during a roll-out. Without a
+  // roll-out it is absent, and `version_in_use` gets all requests.
   std::optional<VersionSplit> split;
   VersionId version_in_use;
   TimePoint version_chosen_at;
@@ -35,40 +37,55 @@
 
 struct BalancedTarget {
   TargetRecord record;
-  // Null only before its first record.
+  // Null only until the first record is stored.
   BalancedService* service = nullptr;
+  // The target is cold before this time: it has recently started and can serve
+  // only a few requests.
   TimePoint cold_until;
-  // With TargetPhase::kSilent: since when.
+  // When the record's phase became TargetPhase::kSilent; valid in that phase.
   TimePoint silent_since;
+  // Attempts of this host that have not ended.
   size_t in_flight = 0;
-  // When the attempts that are still unanswered were sent, oldest first.
+  // The send times of unanswered attempts, oldest first.
   std::vector<TimePoint> sent_times;
-  // Smoothed latency in ns; zero: none yet.
+  // Smoothed latency in ns; zero until the first answer.
   double latency_ns = 0;
+  // When `latency_ns` was last updated.
   TimePoint latency_at;
+  // The load that the target last reported, and when.
   TargetLoad load;
   TimePoint load_at;
   ConcurrencyLimit limit;
-  // Smoothed share of failures.
+  // Smoothed share of failed attempts, from 0 to 1, at `failure_share_at`. It
+  // decays with time; see FailureShare().
   double failure_share = 0;
   TimePoint failure_share_at;
-  // The same and a factor on latency, as all hosts of the zone together see it.
+  // The share of failed attempts and the latency relative to that of the
+  // service's best target, from the outcomes of all hosts of the zone.
   double shared_failure_share = 0;
   double shared_slowdown = 1;
-  // Orders a service's targets differently on each entry host.
+  // A hash of this host and the target, by which each entry host orders the
+  // targets of a service differently.
   uint64_t subset_rank = 0;
-  // Not used until a health question is answered well.
+  // Gets no requests, except occasional trials, until a health probe or an
+  // attempt succeeds.
   bool is_ejected = false;
-  // Suspected for its silence only: connections to it could be had.
+  // Ejected only because attempts stayed unanswered; connections to it
+  // succeeded.
   bool is_ejected_as_unresponsive = false;
-  // A health question is wanted.
+  // A health probe must be sent although the target may not be ejected.
   bool needs_probe = false;
+  // The earliest time of the next health probe.
   TimePoint next_probe;
+  // Failed health probes since the target was last restored.
   size_t failed_probes = 0;
-  // Health answers "unhealthy" although it can be reached.
+  // Health probes that were answered as unhealthy, since the target was last
+  // restored or a probe got no answer.
   size_t unhealthy_probes = 0;
+  // The earliest time of the next trial request while the target is ejected.
   TimePoint next_trial;
   TimePoint last_success;
+  // The earliest time of the next request while the target is cold.
   TimePoint next_cold_send;
 };
 
--- a/knapweedroad/routing/load_balancer.cc
+++ b/knapweedroad/routing/load_balancer.cc
@@ -15,30 +15,31 @@
 
 using std::chrono::milliseconds;
 
-// After so many "unhealthy" in a row a request is tried now and then: health
-// answers may be false.
+// After this many unhealthy probe answers in a row, an ejected target gets an
+// occasional trial request, as its health answers may be wrong.
 constexpr size_t kUnhealthyProbesBeforeTrial = 2;
 constexpr Duration kTrialIntervalPerHost = milliseconds(250);
 constexpr Duration kMinTrialInterval = milliseconds(500);
-// So many hosts at max_connections send to one cold target, each once in the
-// spacing.
+// At most this many hosts send requests to one cold target, each of them one
+// request per kColdSendInterval.
 constexpr size_t kMaxColdSenders = 3;
 constexpr Duration kColdSendInterval = milliseconds(1200);
-// A target whose heartbeats have stopped is used while it goes on to answer.
+// A target without heartbeats stays usable for this time after its last answer.
 constexpr Duration kSilentGracePeriod = std::chrono::seconds(2);
-// As long as control hosts remember it.
+// Control hosts remove a target without heartbeats after the same time.
 constexpr Duration kRemoveSilentAfter = std::chrono::seconds(60);
 
-// A target of another zone counts as so many times slower than it is: its bytes
-// cross between zones, and smoothed latencies of few values differ by chance.
+// The cost factor for a target of another zone. Its answers cause traffic
+// between zones, and latencies smoothed from few values differ by chance.
 constexpr double kOtherZoneFactor = 1.6;
-// The same where an answer's parts from one zone cross together, and where
-// others do.
+// The cost factors if the request prefers certain zones, by their order, and
+// for the remaining zones. The partial answers from one preferred zone are sent
+// to this zone together.
 constexpr std::array kPreferredZoneFactors = {1.3, 1.6};
 constexpr double kUnpreferredZoneFactor = 2.1;
 
-// One pick in so many passes over what others say of a target, so that somebody
-// finds out that it is well again.
+// One cost estimate in this many ignores the outlier lists, so that some host
+// detects when a target has recovered.
 constexpr unsigned kIgnoreOutliersOneIn = 300;
 
 uint64_t RankHash(const HostId& host, const TargetId& target) {
@@ -147,8 +148,8 @@
   return target.cold_until > now;
 }
 
-// Caps the number of max_senders so that the aggregate rate stays under the
-// cold limit; every host reckons the same ones.
+// Limits the number of sending hosts so that the total rate stays below the
+// limit for cold targets. Every host computes the same set of senders.
 bool LoadBalancer::MaySendWhileCold(const BalancedTarget& target,
                                     TimePoint now) const {
   if (now < target.next_cold_send) {
@@ -187,8 +188,9 @@
              : this->connection_share.MaxPerTarget(max_connections, now);
 }
 
-// With more hosts than a target takes connections, each host keeps to a part of
-// the targets, its own zone's first, and every host to another part.
+// If there are more hosts than a target accepts connections, each host uses a
+// subset of the targets. It prefers targets of its own zone, and the hash gives
+// each host a different order.
 bool LoadBalancer::IsInSubset(const BalancedTarget& target) const {
   const BalancedService& service = *target.service;
   const size_t max_connections = service.max_connections;
@@ -248,8 +250,8 @@
   return target.record.zone != this->options.zone;
 }
 
-// After a cut has healed, targets beyond it are asked for their health at once
-// instead of at their next regular turn.
+// When the other zones become reachable again, probes their ejected targets
+// without waiting for the next scheduled probe.
 void LoadBalancer::OnOtherZoneAnswered(TimePoint now) {
   if (!this->zone_reachability.OnAnswered(now)) {
     return;
@@ -289,7 +291,7 @@
       .needs_scarce_connection =
           are_connections_scarce && this->options.has_idle_connection &&
           !this->options.has_idle_connection(target.record.id)};
-  // Ties are broken by lot.
+  // A random factor of up to 2% breaks ties.
   return CostOf(target, context, now) *
          (1 + 0.02 * static_cast<double>(this->random()) /
                   static_cast<double>(std::minstd_rand::max()));
@@ -306,7 +308,8 @@
   }
   bool avoids_candidate = false;
   if (const auto& split = found->second.split; split && split->allows_stable) {
-    const bool prefers_candidate = this->DrawCandidate(*split, tried.empty());
+    const bool prefers_candidate =
+        this->ShouldPreferCandidate(*split, tried.empty());
     BalancedTarget* const candidate =
         prefers_candidate ? this->PickCandidate(found->second, now) : nullptr;
     if (candidate != nullptr) {
@@ -314,7 +317,7 @@
     }
     avoids_candidate = split->candidate_share < 1;
   }
-  // Warm ones first, then trials of ejected ones; a cold one last.
+  // Prefers warm targets, then trials of ejected targets, then cold targets.
   enum Rank { kWarm, kTrial, kCold, kNone };
   Rank best_rank = kNone;
   double best_cost = std::numeric_limits<double>::max();
--- a/knapweedroad/routing/load_balancer.h
+++ b/knapweedroad/routing/load_balancer.h
@@ -1,11 +1,15 @@
-// An entry host's knowledge of targets: what control hosts tell, what it has
-// seen itself, and from both the choice of one for an attempt.
+// Chooses the target for each attempt of an entry host, from the target records
+// that control hosts send, the outcomes of this host's attempts, and the
+// outcomes that other hosts share.
 //
-//   LoadBalancer book({.zone = zone});
-//   book.Learn(record, now);
-//   auto target = book.Pick(service, tried, now);
-//   book.OnSent(*target, now);
-//   book.OnAnswered(*target, latency, load, now);
+//   LoadBalancer balancer({.self = host, .zone = zone});
+//   balancer.SetRouting(routing);
+//   balancer.UpdateTarget(record, now);
+//   if (auto target = balancer.Pick(service, tried, now)) {
+//     balancer.OnSent(*target, now);
+//     ...
+//     balancer.OnAnswered(*target, latency, load, now);
+//   }
 
 #ifndef KNAPWEEDROAD_ROUTING_LOAD_BALANCER_H_
 #define KNAPWEEDROAD_ROUTING_LOAD_BALANCER_H_
@@ -37,184 +41,234 @@
 
 class RouteTable;
 
-// A change of what this host believes of a target, for the log.
+// A change of a target's health as seen by this host, for the log.
 struct TargetHealthChange {
   TargetId target;
   // "ejected", "restored", "gone" or "cold".
   std::string_view health;
   std::string_view cause;
-  // How long it had been silent, or stays cold; zero where it doesn't apply.
+  // If "ejected", the age of the oldest unanswered attempt, or zero if there is
+  // none. If "cold", how much longer the target stays cold. Otherwise zero.
   Duration duration{};
 };
 
 struct LoadBalancerOptions {
+  // This host and its zone.
   HostId self;
   ZoneId zone;
-  // Bound on what a cold target gets in a second from all hosts together:
-  // its cold rate times the factor, and the slack.
+  // A cold target gets at most its service's cold rate times
+  // `cold_burst_factor`, plus `cold_slack`, in requests per second from all
+  // entry hosts together.
   double cold_burst_factor = 1.5;
   double cold_slack = 5;
   uint64_t seed = 1;
-  // When this host began to send.
+  // When this process started to send requests.
   TimePoint started;
-  // Told of each change of health; may be absent.
+  // Called on each change of a target's health; may be empty.
   std::function<void(const TargetHealthChange&)> on_health_change;
-  // Told of each attempt's outcome, to be shared with other hosts, and whether
-  // it was a failure or took far longer than usual; may be absent.
+  // Called with the outcome of each attempt that other hosts should consider,
+  // and whether it failed or took far longer than usual; may be empty.
   std::function<void(const TargetOutcomes&, bool is_failed_or_slow)> on_outcome;
-  // Whether this host holds an idle connection to the target; absent: yes.
+  // Returns whether this host has an idle connection to the target. If empty,
+  // every target is treated as if it had one.
   std::function<bool(const TargetId&)> has_idle_connection;
 };
 
-// What a health question showed.
+// The result of a health probe.
 struct ProbeResult {
-  // Nothing came: refused, reset or silent.
+  // The probe was answered. Otherwise the connection was refused or reset, or
+  // the probe timed out.
   bool is_reachable = false;
-  // A connection could be had, and ended without an answer.
+  // A connection was established but ended without an answer, which shows
+  // neither that the target is healthy nor that it isn't.
   bool is_inconclusive = false;
-  // Another target answered at the address.
+  // A different target answered at the address.
   bool is_other_target = false;
   bool is_healthy = false;
+  // How much longer the target stays cold.
   Duration cold_left{};
 };
 
+// A health probe to send.
 struct DueProbe {
   TargetId target;
   Endpoint address;
   std::string health_path;
 };
 
+// Keeps the state of all targets that control hosts report, and picks the one
+// with the lowest expected latency. Targets that fail or don't answer are
+// ejected: they get no requests, except occasional trials, until a health probe
+// or an attempt succeeds. Limits the attempts in flight to each target, and
+// shares connection limits and the rate for cold targets with the other entry
+// hosts. A target is cold for some time after its start, when it can serve only
+// a few requests. Not thread-safe.
 class LoadBalancer {
  public:
   explicit LoadBalancer(LoadBalancerOptions options);
 
-  // News of a target; older knowledge than is held changes nothing.
+  // Stores a target's record, unless the stored one is as new or newer.
   void UpdateTarget(const TargetRecord& record, TimePoint now);
 
-  // What is in force: caps and cold rates of services.
-  void SetRouting(std::shared_ptr<const RouteTable> routing);
+  // Sets the routing table in force, which has the connection limit, cold rate
+  // and health path of each service.
+  void SetRouting(std::shared_ptr<const RouteTable> next);
+  // Replaces the list of evacuated zones, whose targets get no requests.
   void SetEvacuatedZones(const std::vector<ZoneId>& zones);
-  // How services with a roll-out divide their requests between versions;
-  // replaces all that was set before. Of another service only the version of
-  // the targets that were there first is used, until they have all left.
+  // Replaces the version splits of services that have a roll-out. For every
+  // other service only one version is used, that of its earliest targets, until
+  // none of them is left.
   void SetVersionSplits(std::unordered_map<ServiceId, VersionSplit> next);
-  // All entry hosts, this one among them: they share what a target bears.
+  // Replaces the list of all entry hosts, including this one, which share the
+  // connections that each target accepts.
   void SetEntryHosts(std::vector<HostId> hosts, TimePoint now) {
     this->connection_share.SetHosts(std::move(hosts), now);
   }
-  // What all hosts of the zone together see of targets, as one control host
-  // tells it; replaces what it told before. Nothing: that still holds.
+  // Records a reply of a control host about targets with unusually many
+  // failures or high latency, as measured by all hosts of the zone. `outliers`
+  // replaces its previous list; if absent, the previous list stays valid.
   void UpdateOutliers(const HostId& control_host,
                       std::optional<std::vector<TargetOutlier>> outliers,
                       TimePoint now);
-  // Drops what control hosts that no longer reply have told. Called every few
-  // hundred milliseconds.
+  // Drops the outlier lists of control hosts that have stopped replying. Must
+  // be called every few hundred milliseconds.
   void ExpireOutliers(TimePoint now);
-  // Drops targets that have been silent for so long that control hosts have
-  // forgotten them.
+  // Removes targets whose heartbeats stopped so long ago that control hosts
+  // have removed them too. Must be called periodically.
   void RemoveSilentTargets(TimePoint now);
-  // How many share it, at the most, as far as known.
+  // Returns the number of entry hosts that may hold connections to a target,
+  // including hosts that were removed from the list a short while ago.
   size_t entry_host_count() const {
     return this->connection_share.host_count();
   }
 
-  // The target of the service that promises the soonest answer, none of
-  // `tried`; nothing if none can take a request now.
-  // Targets of `near_zones` count as little farther than those of the own
-  // zone, the first of them as the nearest.
+  // Returns the target of the service with the lowest expected latency, other
+  // than those in `tried`, or nothing if no target can take a request now. The
+  // caller sends an attempt to the target and calls OnSent().
+  // Targets of other zones cost more than those of this host's zone. The extra
+  // cost is lower for `preferred_zones`, and lowest for the first of them.
   std::optional<TargetId> Pick(const ServiceId& service,
                                std::span<const TargetId> tried,
                                TimePoint now,
                                std::span<const ZoneId> preferred_zones = {});
 
-  // Whether some target of the service, none of `tried`, may take requests, now
-  // or as soon as one that runs has ended.
+  // Returns whether the service has a target, other than those in `tried`, that
+  // is usable, not ejected and not cold. It may be at its limit of attempts in
+  // flight, and then can take a request as soon as one of them has ended.
   bool IsServed(const ServiceId& service,
                 TimePoint now,
                 std::span<const TargetId> tried = {}) const;
 
-  // The same by targets of this host's own zone alone.
+  // Like IsServed(), but considers only the targets of this host's zone.
   bool IsServedInZone(const ServiceId& service, TimePoint now) const;
 
   TargetCounts CountTargets(const ServiceId& service, TimePoint now) const;
 
-  // Whether this zone seems cut off, by what targets of others answer.
+  // Detects whether this zone is cut off from the other zones.
   ZoneReachability& reachability() { return this->zone_reachability; }
-  // A control host of another zone has answered, or a target.
+  // Records that a control host or a target of another zone has answered.
   void OnOtherZoneAnswered(TimePoint now);
 
-  // Whether connections are to be closed after use, so that other hosts find
-  // places at the targets.
+  // Returns whether the caller should close connections after each request, so
+  // that other hosts can connect to the targets. True for a few seconds after a
+  // target rejected a connection, if this process started shortly before.
   bool ShouldCloseConnections(TimePoint now) const;
 
-  // Null once it is gone.
+  // Returns the target's record, or null if there is none. The pointer is valid
+  // until the next call of UpdateTarget() or RemoveSilentTargets().
   const TargetRecord* Find(const TargetId& id) const;
 
-  // Null where no further request may go to it now.
+  // Like Find(), but also returns null if the target can't take another request
+  // now or is cold.
   const TargetRecord* FindAvailable(const TargetId& id, TimePoint now) const;
 
-  // Outcomes. Each attempt is OnSent() once, then one of the others once.
+  // Outcomes of attempts. The caller calls OnSent() once for each attempt that
+  // it sends, and then exactly one of the functions from OnAnswered() to
+  // OnAbandoned(), except OnUnresponsive(). Calls for an unknown target have no
+  // effect.
   void OnSent(const TargetId& id, TimePoint now);
+  // Records a valid answer, and the load that the target reported with it.
   void OnAnswered(const TargetId& id,
                   Duration latency,
                   const std::optional<TargetLoad>& load,
                   TimePoint now);
-  // It refused, as full, and ran nothing.
+  // Records that the target declined the request because it is full, and did
+  // not run it.
   void OnDeclined(const TargetId& id,
                   const std::optional<TargetLoad>& load,
                   TimePoint now);
-  // It answered with a failure of its own.
+  // Records that the target answered with an error of its own.
   void OnFailed(const TargetId& id, TimePoint now);
-  // The connection ended in the middle, or bytes came that are no answer.
+  // Records that the connection ended before the answer was complete, or that
+  // the answer was malformed.
   void OnBroken(const TargetId& id, TimePoint now);
-  // It closed a new connection before anything was sent: it has too many.
+  // Records that the target closed a new connection before anything was sent,
+  // because it has too many connections.
   void OnConnectionRejected(const TargetId& id, TimePoint now);
-  // No connection could be had.
+  // Records that no connection could be established, and ejects the target.
   void OnUnreachable(const TargetId& id, TimePoint now);
-  // Nothing came in all the time it was given.
+  // Ejects a target that has not answered for too long. Unlike the others it
+  // doesn't end an attempt, whose outcome is recorded separately.
   void OnUnresponsive(const TargetId& id, TimePoint now);
-  // Another target answers at its address.
+  // Records that a different target answered at the target's address. The
+  // target then gets no requests until a newer record of it arrives.
   void OnOtherTargetAnswered(const TargetId& id, TimePoint now);
-  // The attempt was given up `waited` after it was sent.
+  // Records that the attempt was abandoned `waited` after it was sent.
   void OnAbandoned(const TargetId& id, Duration waited, TimePoint now);
-  // An idle connection was closed from the other side, unannounced.
+
+  // Records that the target closed an idle connection, and makes a health probe
+  // due.
   void OnIdleClosed(const TargetId& id, TimePoint now);
 
-  // Stops using targets that have left attempts unanswered for long while
-  // nothing came from them. Not called after this process stood still.
+  // Ejects targets that have left attempts unanswered for long and have
+  // answered nothing meanwhile. Must be called periodically, but not directly
+  // after this process was suspended: all attempts would seem unanswered.
   void EjectUnresponsive(TimePoint now);
 
-  // Targets to ask for their health now; each is then due again after a
-  // while. Asked before new requests go to a target that has failed.
+  // Returns the health probes that are due, and schedules the next one for each
+  // of these targets. The caller sends them and calls OnProbeResult(). Targets
+  // that have failed get a probe before they get new requests.
   std::vector<DueProbe> DueProbes(TimePoint now);
   void OnProbeResult(const TargetId& id,
                      const ProbeResult& result,
                      TimePoint now);
 
  private:
+  // Returns null if there is no such target.
   BalancedTarget* Lookup(const TargetId& id);
   const BalancedTarget* Lookup(const TargetId& id) const;
   void RemoveTarget(const TargetId& id);
+  // Whether requests may be sent to the target by its phase, zone and version.
   bool IsUsable(const BalancedTarget& target, TimePoint now) const;
   static bool IsAllowedVersion(const BalancedTarget& target);
-  // Chooses the version of a service without a roll-out.
+  // Sets the version in use, which applies to a service without a roll-out.
   static void ChooseVersion(BalancedService& service, TimePoint now);
   bool IsCold(const BalancedTarget& target, TimePoint now) const;
+  // Whether the target is usable, not ejected and not cold.
   bool IsReady(const BalancedTarget& target, TimePoint now) const;
+  // Whether an attempt may be sent now, if only as a trial.
   bool MaySend(const BalancedTarget& target, TimePoint now) const;
+  // Whether an attempt may be sent now to a target that is cold.
   bool MaySendWhileCold(const BalancedTarget& target, TimePoint now) const;
+  // Whether this host keeps connections to the target.
   bool IsInSubset(const BalancedTarget& target) const;
-  // The service, with what is configured of it.
+  // Returns the service, which is created with its configuration if needed.
   BalancedService& GetOrAddService(const ServiceId& id);
+  // Copies the service's routing configuration and version split.
   void ApplyConfig(const ServiceId& id, BalancedService& service) const;
+  // Returns how many connections this host may hold to the target.
   size_t ConnectionCap(const BalancedTarget& target, TimePoint now) const;
   double EstimateCost(const BalancedTarget& target,
                       std::span<const ZoneId> preferred_zones,
                       TimePoint now);
   double ZoneFactor(const BalancedTarget& target,
                     std::span<const ZoneId> preferred_zones) const;
-  // Which of the two versions of a split an attempt goes to by preference.
-  bool DrawCandidate(const VersionSplit& split, bool is_first);
+  // Returns whether the attempt should go to the candidate version: at random
+  // for first attempts, and always if the split does not allow the stable
+  // version.
+  bool ShouldPreferCandidate(const VersionSplit& split, bool is_first_attempt);
+  // Returns a random target of the candidate version, or null if none can take
+  // a request.
   BalancedTarget* PickCandidate(const BalancedService& service, TimePoint now);
   void EndAttempt(BalancedTarget& target);
   void RecordLoad(BalancedTarget& target,
@@ -229,7 +283,8 @@
                           std::string_view health,
                           std::string_view cause,
                           Duration duration = Duration::zero()) const;
-  // Smoothed latencies take the value in, and `seen` with it is shared.
+  // Adds the latency to the smoothed values of the target and its service, and
+  // reports `outcome` together with it.
   void RecordLatency(BalancedTarget& target,
                      double latency_ns,
                      double weight,
@@ -238,8 +293,9 @@
   Duration ProbeInterval(const BalancedTarget& target) const;
 
   LoadBalancerOptions options;
+  // Targets and services point to each other, so their addresses must not
+  // change.
   std::unordered_map<TargetId, BalancedTarget> targets;
-  // Targets and services refer to each other; neither moves.
   std::unordered_map<ServiceId, BalancedService> services;
   std::shared_ptr<const RouteTable> routing;
   std::set<ZoneId> evacuated_zones;
@@ -247,7 +303,7 @@
   OutlierLists outliers;
   ConnectionShare connection_share;
   ZoneReachability zone_reachability;
-  // Until then targets are taken to be short of connections.
+  // Before this time targets are assumed to have few free connections.
   TimePoint connections_scarce_until;
   std::minstd_rand random;
 };
--- a/knapweedroad/routing/load_balancer_outcomes.cc
+++ b/knapweedroad/routing/load_balancer_outcomes.cc
@@ -1,5 +1,5 @@
-// What the outcomes of attempts and health questions make a load balancer
-// believe of its targets.
+// The part of LoadBalancer that updates its targets from the outcomes of
+// attempts and health probes.
 
 #include "knapweedroad/routing/load_balancer.h"
 
@@ -14,33 +14,40 @@
 
 using std::chrono::milliseconds;
 
-// Weight of a new value in a smoothed latency.
+// The weight of a new value in the smoothed latency of a target and of a
+// service.
 constexpr double kLatencyWeight = 0.15;
 constexpr double kServiceLatencyWeight = 0.02;
-// Weight of a new outcome in the smoothed share of failures.
+// The weight of a new outcome in the smoothed share of failures.
 constexpr double kFailureWeight = 0.3;
-// Unanswered for this many usual latencies, and for more than two of the pauses
-// that targets make now and then, a target counts as silent.
+// A target is ejected as unresponsive if it has answered nothing for
+// kUnresponsiveFactor times its usual latency, and for at least
+// kMinUnresponsiveAge, which is longer than two of the pauses that targets
+// occasionally make.
 constexpr double kUnresponsiveFactor = 6;
 constexpr Duration kMinUnresponsiveAge = milliseconds(450);
-// An attempt given up after this many usual latencies tells how slow its target
-// is at the least.
+// The time until an attempt was abandoned is a lower bound of the latency. It
+// is recorded as one if it exceeds this multiple of the usual latency of the
+// service.
 constexpr double kAbandonedFactor = 2;
 constexpr double kAbandonedWeight = 0.3;
-// Health questions: soon after the failure, then spread out; each host's share
-// of them shrinks with the number of hosts.
+// Health probes are sent soon after a failure and then less often. Each host
+// sends fewer of them if there are many hosts.
 constexpr Duration kMinProbeInterval = milliseconds(400);
 constexpr Duration kMinProbeIntervalPerHost = milliseconds(40);
 constexpr size_t kProbeBackoffSteps = 4;
-// After a target has turned a connection away, for this long a host keeps to
-// the targets that it is connected to: all hosts have lost their power, the
-// targets still hold the connections of before, and a host that takes a second
-// place leaves another without any. Targets notice within about ten seconds.
+// For this time after a target rejected a connection, the host prefers targets
+// to which it is connected. After a power loss of all hosts, targets still hold
+// the previous connections, and a host that opens a second one leaves another
+// host without any. Targets detect the dead connections within about ten
+// seconds.
 constexpr Duration kScarcityDuration = std::chrono::seconds(4);
-// Targets notice within this that the hosts of their connections are gone.
+// Targets detect within this time that the hosts at the other end of their
+// connections have failed.
 constexpr Duration kStaleConnectionTimeout = std::chrono::seconds(12);
 
-// An attempt that takes so many times as long as usual is told of at once.
+// An attempt that takes this many times the usual latency is reported to other
+// hosts at once.
 constexpr double kSlowFactor = 3;
 constexpr double kNsPerUs = 1e3;
 
@@ -57,9 +64,9 @@
   if (target.in_flight > 0) {
     --target.in_flight;
   }
-  // Which attempt ended isn't known here; the oldest is latency_ns for it
-  // unless only its age matters: an answer shows that the target is not
-  // stalled.
+  // The attempt that ended is not identified, so the oldest send time is
+  // removed. Send times only serve to detect a stalled target, and an answer
+  // shows that the target isn't stalled.
   if (!target.sent_times.empty()) {
     target.sent_times.erase(target.sent_times.begin());
   }
@@ -169,16 +176,17 @@
   }
 }
 
-// After a loss of power targets hold their old connections for a while. Keeping
-// new ones would lock other hosts out for as long; later, a host that is turned
-// away is one of many, and each new connection costs the target time.
+// After a power loss of all hosts, targets hold the previous connections for
+// some seconds. If hosts kept their new connections, other hosts could not
+// connect during that time. Later, a rejection affects only one host of many,
+// and connections are kept because each new one costs the target time.
 bool LoadBalancer::ShouldCloseConnections(TimePoint now) const {
   return now < this->connections_scarce_until &&
          now - this->options.started < kStaleConnectionTimeout;
 }
 
-// The next attempts go elsewhere, but it is sound: no health question, which
-// would need a connection as well.
+// The failure directs the next attempts to other targets. The target is
+// healthy, so it gets no health probe, which would need a connection as well.
 void LoadBalancer::OnConnectionRejected(const TargetId& id, TimePoint now) {
   if (BalancedTarget* const target = this->Lookup(id)) {
     this->EndAttempt(*target);
@@ -247,8 +255,8 @@
   }
 }
 
-// Attempts that are given up count with the time they waited; otherwise a
-// target that never answers would look idle and fast.
+// Records the waiting time of an abandoned attempt as its latency. Otherwise a
+// target that never answers would appear idle and fast.
 void LoadBalancer::OnAbandoned(const TargetId& id,
                                Duration waited,
                                TimePoint now) {
@@ -265,8 +273,8 @@
   }
 }
 
-// A target that restarts under its id is cold. Closed idle connections are the
-// first sign of it, so a health question goes before the next request.
+// A target that restarts under the same ID is cold. Closed idle connections are
+// the first sign of a restart, so a health probe is sent at once.
 void LoadBalancer::OnIdleClosed(const TargetId& id, TimePoint now) {
   if (BalancedTarget* const target = this->Lookup(id)) {
     target->needs_probe = true;
@@ -336,7 +344,8 @@
     this->Eject(*target, "no_health_answer", now);
     target->is_ejected_as_unresponsive = false;
   }
-  // One that was never ejected and can be reached stays in use.
+  // A target that was not ejected before and is reachable stays in use, also if
+  // it reports that it is unhealthy.
 }
 
 void LoadBalancer::UpdateOutliers(
@@ -368,9 +377,9 @@
   }
 }
 
-// Only what a target itself did is shared: answers, refusals, broken and late
-// answers. That it can't be reached from here says nothing about the way from
-// another zone.
+// Only outcomes that the target itself caused are shared: answers, refusals,
+// and broken or late answers. A connection failure is not shared, as it doesn't
+// show whether the target can be reached from another zone.
 void LoadBalancer::ReportOutcome(const BalancedTarget& target,
                                  TargetOutcomes outcome) {
   if (this->options.on_outcome) {
--- a/knapweedroad/routing/load_balancer_test.cc
+++ b/knapweedroad/routing/load_balancer_test.cc
@@ -35,62 +35,65 @@
           .sequence = 1};
 }
 
-LoadBalancer MakeBalancer(size_t host, size_t hosts, size_t connections) {
-  LoadBalancer balancer({.self = Hosts(hosts)[host], .zone = ZoneId("a")});
+LoadBalancer MakeBalancer(size_t index,
+                          size_t host_count,
+                          size_t max_connections) {
+  LoadBalancer balancer(
+      {.self = Hosts(host_count)[index], .zone = ZoneId("a")});
   RoutingConfig config{
       .version = 1,
-      .services = {{.name = kService, .max_connections = connections}}};
+      .services = {{.name = kService, .max_connections = max_connections}}};
   balancer.SetRouting(std::make_shared<RouteTable>(config));
-  // Long ago: the list is settled.
-  balancer.SetEntryHosts(Hosts(hosts), kStart - seconds(60));
+  // Long enough ago that the list of hosts counts as stable.
+  balancer.SetEntryHosts(Hosts(host_count), kStart - seconds(60));
   return balancer;
 }
 
 void SendAndAnswer(LoadBalancer& balancer,
                    const TargetId& id,
-                   Duration took,
+                   Duration latency,
                    TimePoint at) {
   balancer.OnSent(id, at);
-  balancer.OnAnswered(id, took, std::nullopt, at + took);
+  balancer.OnAnswered(id, latency, std::nullopt, at + latency);
 }
 
-// A target is five times as slow as the others. Sent its even share it would
-// hold up every third answer of its shard.
-Test(load_balancer, a_slow_target_gets_little_and_is_tried_again_later) {
+// Guards against an equal division of requests: a target that is five times as
+// slow as the two others would delay every third answer.
+Test(load_balancer, a_slow_target_gets_few_requests_and_is_retried_later) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   for (const char* id : {"t1", "t2", "t3"}) {
     balancer.UpdateTarget(Record(id, "a"), kStart);
   }
   TimePoint now = kStart;
-  std::map<std::string, int> got;
+  std::map<std::string, int> counts;
   for (int i = 0; i < 300; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    ++got[id.str()];
+    ++counts[id.str()];
     SendAndAnswer(balancer, id, milliseconds(id.str() == "t1" ? 50 : 10), now);
     now += milliseconds(60);
   }
-  cr_expect(got["t1"] < 30, "%d", got["t1"]);
-  cr_expect(got["t1"] >= 2, "%d", got["t1"]);
+  cr_expect(counts["t1"] < 30, "%d", counts["t1"]);
+  cr_expect(counts["t1"] >= 2, "%d", counts["t1"]);
 }
 
-Test(load_balancer, its_own_zone_goes_first_while_it_is_as_fast) {
+Test(load_balancer, prefers_its_own_zone_at_equal_latency) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("far", "b"), kStart);
   balancer.UpdateTarget(Record("near", "a"), kStart);
-  int near = 0;
+  int near_count = 0;
   TimePoint now = kStart;
   for (int i = 0; i < 100; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    near += id.str() == "near" ? 1 : 0;
+    near_count += id.str() == "near" ? 1 : 0;
     SendAndAnswer(balancer, id, milliseconds(10), now);
     now += milliseconds(30);
   }
-  cr_expect(near > 90, "%d", near);
+  cr_expect(near_count > 90, "%d", near_count);
 }
 
-// A target pauses: what it was sent stays unanswered. New requests must not
-// queue up behind it.
-Test(load_balancer, a_stalled_target_is_passed_over) {
+// Guards against requests that queue at a target which pauses and leaves an
+// attempt unanswered.
+Test(load_balancer, a_stalled_target_is_not_picked) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("near", "a"), kStart);
   balancer.UpdateTarget(Record("far", "b"), kStart);
@@ -103,7 +106,7 @@
             TargetId("far"));
 }
 
-Test(load_balancer, a_leaving_or_evacuated_target_gets_nothing) {
+Test(load_balancer, a_leaving_or_evacuated_target_gets_no_requests) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   balancer.SetEvacuatedZones({ZoneId("a")});
@@ -118,9 +121,10 @@
   cr_expect(!balancer.IsServed(kService, kStart));
 }
 
-// A zone's targets come back cold and bear five requests a second together.
-// Nine hosts that are polite each for themselves still send ninety.
-Test(load_balancer, hosts_together_keep_to_what_a_cold_target_bears) {
+// Guards against a rate limit for cold targets that each host applies on its
+// own: nine hosts would then send ninety requests per second to a target that
+// can serve five.
+Test(load_balancer, hosts_together_keep_to_the_rate_limit_of_a_cold_target) {
   constexpr size_t kHosts = 9;
   std::vector<LoadBalancer> balancers;
   for (size_t i = 0; i < kHosts; ++i) {
@@ -144,9 +148,10 @@
   }
 }
 
-// 83 hosts stand before targets that take 74 connections each: one connection
-// of every host is too many, and the target resets what is over its cap.
-Test(load_balancer, many_hosts_share_out_the_connections_of_a_service) {
+// Guards against too many connections: with 83 hosts and targets that accept 74
+// connections each, one connection per host exceeds the limit, and the target
+// resets the excess.
+Test(load_balancer, many_hosts_share_the_connections_of_a_service) {
   constexpr size_t kHosts = 83;
   std::map<std::string, int> users;
   for (size_t i = 0; i < kHosts; ++i) {
@@ -154,16 +159,16 @@
     balancer.UpdateTarget(Record("t1", "a"), kStart);
     balancer.UpdateTarget(Record("t2", "b"), kStart);
     balancer.UpdateTarget(Record("t3", "c"), kStart);
-    std::map<std::string, int> got;
+    std::map<std::string, int> counts;
     TimePoint now = kStart;
     for (int n = 0; n < 50; ++n) {
       const TargetId id = *balancer.Pick(kService, {}, now);
-      ++got[id.str()];
+      ++counts[id.str()];
       SendAndAnswer(balancer, id, milliseconds(10), now);
       now += milliseconds(50);
     }
-    cr_expect(got.size() <= 2);
-    for (const auto& [id, count] : got) {
+    cr_expect(counts.size() <= 2);
+    for (const auto& [id, count] : counts) {
       ++users[id];
     }
   }
@@ -171,9 +176,10 @@
             users["t3"]);
 }
 
-// A target crashes and is back within a second under its old id, cold. Hosts
-// that go on in good faith crash it again: they ask for its health first.
-Test(load_balancer, an_unreachable_target_is_asked_before_it_is_used_again) {
+// Guards against a second crash of a target that crashed and restarted within a
+// second under the same ID: it is cold, and requests at the usual rate would
+// overload it.
+Test(load_balancer, an_unreachable_target_is_probed_before_it_is_used_again) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   balancer.OnSent(TargetId("t"), kStart);
@@ -189,8 +195,9 @@
   cr_expect(balancer.IsServed(kService, kStart + seconds(3)));
 }
 
-// A target goes dark: no reset, no refusal, requests just stay unanswered.
-Test(load_balancer, a_silent_target_is_taken_out_until_it_answers_again) {
+// Guards against the use of a target that leaves requests unanswered without
+// resetting or refusing connections.
+Test(load_balancer, an_unresponsive_target_is_ejected_until_a_probe_succeeds) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   SendAndAnswer(balancer, TargetId("t"), milliseconds(10), kStart);
@@ -207,9 +214,9 @@
   cr_expect(balancer.IsServed(kService, kStart + milliseconds(1600)));
 }
 
-// A target says that it is unhealthy though it serves well. Suspected once for
-// another reason it would never be used again.
-Test(load_balancer, a_target_with_false_health_answers_is_tried_by_requests) {
+// Guards against the permanent ejection of a target that answers requests but
+// wrongly reports that it is unhealthy.
+Test(load_balancer, a_target_with_false_health_answers_gets_trial_requests) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   balancer.OnSent(TargetId("t"), kStart);
@@ -228,31 +235,33 @@
   cr_expect(balancer.IsServed(kService, now + milliseconds(10)));
 }
 
-// A dark target's attempts are given up one after the other. Each time it
-// looks free, and would get the next request of every caller.
-Test(load_balancer, a_target_whose_attempts_are_given_up_is_passed_over) {
+// Guards against an unresponsive target that gets each next request: when its
+// attempts are abandoned, none are in flight and it appears idle.
+Test(load_balancer, a_target_whose_attempts_are_abandoned_is_not_picked) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
-  balancer.UpdateTarget(Record("dark", "a"), kStart);
-  balancer.UpdateTarget(Record("well", "b"), kStart);
+  balancer.UpdateTarget(Record("unresponsive", "a"), kStart);
+  balancer.UpdateTarget(Record("healthy", "b"), kStart);
   for (int i = 0; i < 20; ++i) {
-    SendAndAnswer(balancer, TargetId("dark"), milliseconds(10), kStart);
-    SendAndAnswer(balancer, TargetId("well"), milliseconds(10), kStart);
+    SendAndAnswer(balancer, TargetId("unresponsive"), milliseconds(10), kStart);
+    SendAndAnswer(balancer, TargetId("healthy"), milliseconds(10), kStart);
   }
-  balancer.OnSent(TargetId("dark"), kStart);
-  balancer.OnAbandoned(TargetId("dark"), milliseconds(400),
+  balancer.OnSent(TargetId("unresponsive"), kStart);
+  balancer.OnAbandoned(TargetId("unresponsive"), milliseconds(400),
                        kStart + milliseconds(400));
-  int dark = 0;
+  int unresponsive_count = 0;
   for (int i = 0; i < 20; ++i) {
     const TimePoint now = kStart + milliseconds(400 + i * 20);
-    dark += balancer.Pick(kService, {}, now) == TargetId("dark") ? 1 : 0;
+    unresponsive_count +=
+        balancer.Pick(kService, {}, now) == TargetId("unresponsive") ? 1 : 0;
   }
-  cr_expect(dark == 0);
+  cr_expect(unresponsive_count == 0);
 }
 
-// All hosts lose their power. Each one that is back believes to be alone for a
-// second; nine of them then hold nine times a target's connections, and all
-// beyond its cap are reset, with the requests on them.
-Test(load_balancer, hosts_that_have_just_started_hold_few_connections) {
+// Guards against too many connections after a power loss of all hosts. For a
+// second after its start, each host has no other host on its list. Nine such
+// hosts would open nine times the connections that a target accepts, and those
+// over the limit would be reset together with their requests.
+Test(load_balancer, hosts_that_have_just_started_use_few_connections) {
   LoadBalancer balancer({.self = HostId("entry-0"), .zone = ZoneId("a")});
   RoutingConfig config{.version = 1,
                        .services = {{.name = kService, .max_connections = 26}}};
@@ -270,9 +279,10 @@
   cr_expect(balancer.entry_host_count() == 9);
 }
 
-// A target at its cap of connections resets health questions like all others.
-// Suspected for that, it would lose its work to targets that are as full.
-Test(load_balancer, a_health_question_that_was_cut_off_proves_nothing) {
+// Guards against the ejection of a target at its connection limit, which resets
+// health probes like all other connections. Its requests would move to targets
+// that are equally full.
+Test(load_balancer, a_reset_health_probe_does_not_eject_its_target) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   balancer.OnSent(TargetId("t"), kStart);
@@ -282,7 +292,7 @@
   cr_expect(balancer.IsServed(kService, kStart));
 }
 
-Test(load_balancer, another_target_at_the_address_ends_the_record) {
+Test(load_balancer, a_target_is_unused_once_another_answers_at_its_address) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
   balancer.OnSent(TargetId("t"), kStart);
@@ -294,9 +304,10 @@
   cr_expect(balancer.Pick(kService, {}, kStart).has_value());
 }
 
-// A target refuses half of its requests. This host has asked it only twice, but
-// all hosts of the zone together know, and it must not find out for itself.
-Test(load_balancer, a_target_that_others_see_fail_is_avoided) {
+// Guards against each host having to detect by its own failures that a target
+// refuses half of its requests, although the zone's hosts together have enough
+// outcomes to show it.
+Test(load_balancer, a_target_on_an_outlier_list_is_avoided) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   for (const char* id : {"t1", "t2"}) {
     balancer.UpdateTarget(Record(id, "a"), kStart);
@@ -306,29 +317,29 @@
   balancer.UpdateOutliers(
       control, std::vector{TargetOutlier{TargetId("t1"), 4, 1}}, kStart);
   TimePoint now = kStart + seconds(1);
-  int bad = 0;
+  int listed_count = 0;
   for (int i = 0; i < 200; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    bad += id == TargetId("t1") ? 1 : 0;
+    listed_count += id == TargetId("t1") ? 1 : 0;
     SendAndAnswer(balancer, id, milliseconds(10), now);
     now += milliseconds(10);
   }
-  cr_expect(bad < 10, "%d", bad);
-  // Well again by the word of the same control host.
+  cr_expect(listed_count < 10, "%d", listed_count);
+  // The same control host no longer lists the target.
   balancer.UpdateOutliers(control, std::vector<TargetOutlier>(), now);
-  int again = 0;
+  int unlisted_count = 0;
   for (int i = 0; i < 200; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    again += id == TargetId("t1") ? 1 : 0;
+    unlisted_count += id == TargetId("t1") ? 1 : 0;
     SendAndAnswer(balancer, id, milliseconds(10), now);
     now += milliseconds(10);
   }
-  cr_expect(again > 50, "%d", again);
+  cr_expect(unlisted_count > 50, "%d", unlisted_count);
 }
 
-// The control host that listed a target has gone. What it said must not be
-// believed for ever.
-Test(load_balancer, a_list_whose_control_host_is_gone_is_forgotten) {
+// Guards against an outlier list that stays in use forever after its control
+// host has failed.
+Test(load_balancer, the_outlier_list_of_a_failed_control_host_expires) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   for (const char* id : {"t1", "t2"}) {
     balancer.UpdateTarget(Record(id, "a"), kStart);
@@ -338,20 +349,19 @@
       HostId("c1"), std::vector{TargetOutlier{TargetId("t1"), 8, 1}}, kStart);
   TimePoint now = kStart + seconds(6);
   balancer.UpdateOutliers(HostId("c2"), std::vector<TargetOutlier>(), now);
-  int got = 0;
+  int count = 0;
   for (int i = 0; i < 200; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    got += id == TargetId("t1") ? 1 : 0;
+    count += id == TargetId("t1") ? 1 : 0;
     SendAndAnswer(balancer, id, milliseconds(10), now);
     now += milliseconds(10);
   }
-  cr_expect(got > 50, "%d", got);
+  cr_expect(count > 50, "%d", count);
 }
 
-// A zone's only control host dies after it has listed a target. No other list
-// comes that would replace its own, and the target would be avoided for as long
-// as the control host is away.
-Test(load_balancer, a_list_is_forgotten_without_any_other_list) {
+// Guards against an outlier list that stays in use because the only control
+// host of the zone has failed, and no reply of another one triggers the expiry.
+Test(load_balancer, an_outlier_list_expires_without_further_replies) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   for (const char* id : {"t1", "t2"}) {
     balancer.UpdateTarget(Record(id, "a"), kStart);
@@ -361,20 +371,20 @@
       HostId("c1"), std::vector{TargetOutlier{TargetId("t1"), 8, 1}}, kStart);
   TimePoint now = kStart + seconds(6);
   balancer.ExpireOutliers(now);
-  int got = 0;
+  int count = 0;
   for (int i = 0; i < 200; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    got += id == TargetId("t1") ? 1 : 0;
+    count += id == TargetId("t1") ? 1 : 0;
     SendAndAnswer(balancer, id, milliseconds(10), now);
     now += milliseconds(10);
   }
-  cr_expect(got > 50, "%d", got);
+  cr_expect(count > 50, "%d", count);
 }
 
-// All hosts have lost their power; targets still hold the connections of
-// before and turn new ones away. A host keeps to the target that it has a
-// connection to: with a second one, another host would be left without any.
-Test(load_balancer, while_connections_are_scarce_it_keeps_to_those_it_has) {
+// Guards against hosts left without any connection after a power loss of all
+// hosts. Targets still hold the previous connections and reject new ones, so a
+// host must not open a second one.
+Test(load_balancer, prefers_connected_targets_while_connections_are_scarce) {
   bool is_first = true;
   LoadBalancer balancer(
       {.self = Hosts(1)[0],
@@ -394,56 +404,55 @@
   for (int i = 0; i < 50; ++i) {
     cr_assert(*balancer.Pick(kService, {}, kStart) == TargetId("t1"));
   }
-  // It is not ejected: where the first is tried already, it is next.
+  // The other target is not ejected, and is picked once the first was tried.
   const std::vector<TargetId> tried{TargetId("t1")};
   cr_expect(*balancer.Pick(kService, tried, kStart) == TargetId("t2"));
 }
 
-// Two of a shard's three targets refuse half of their requests, and answer the
-// others fast. The sound one is in another zone and has the rest of the work;
-// by latency alone half of all requests go to those that refuse, retries run
-// out, and callers get no answer.
+// Guards against a choice by latency alone. Two of three targets refuse half of
+// their requests and answer the others fast. The healthy one is in another zone
+// and loaded. Half of all requests would go to the targets that refuse, the
+// retry budget would be used up, and callers would get no answer.
 Test(load_balancer,
-     a_sound_target_with_more_to_do_goes_before_one_that_refuses) {
+     a_loaded_healthy_target_is_preferred_to_targets_that_refuse) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   for (const char* id : {"t1", "t2"}) {
     balancer.UpdateTarget(Record(id, "a"), kStart);
   }
-  balancer.UpdateTarget(Record("sound", "b"), kStart);
+  balancer.UpdateTarget(Record("healthy", "b"), kStart);
   balancer.UpdateOutliers(HostId("c1"),
                           std::vector{TargetOutlier{TargetId("t1"), 4, 1},
                                       TargetOutlier{TargetId("t2"), 4, 1}},
                           kStart);
   TimePoint now = kStart;
-  int sound = 0;
+  int healthy_count = 0;
   for (int i = 0; i < 300; ++i) {
     const TargetId id = *balancer.Pick(kService, {}, now);
-    sound += id == TargetId("sound") ? 1 : 0;
-    SendAndAnswer(balancer, id, milliseconds(id == TargetId("sound") ? 90 : 8),
-                  now);
+    healthy_count += id == TargetId("healthy") ? 1 : 0;
+    SendAndAnswer(balancer, id,
+                  milliseconds(id == TargetId("healthy") ? 90 : 8), now);
     now += milliseconds(10);
   }
-  cr_expect(sound > 285, "%d", sound);
+  cr_expect(healthy_count > 285, "%d", healthy_count);
 }
 
-// All hosts have lost their power; targets still hold the connections of before
-// and have few places. Hosts that keep those to themselves leave the others'
-// callers without an answer for ten seconds.
-Test(load_balancer,
-     a_host_that_has_just_started_gives_scarce_connections_back) {
+// Guards against callers without an answer for ten seconds after a power loss
+// of all hosts. Targets still hold the previous connections and accept few new
+// ones. If some hosts kept those, other hosts could not connect.
+Test(load_balancer, a_host_that_has_just_started_closes_scarce_connections) {
   LoadBalancer balancer({.self = HostId("e"), .started = kStart});
   balancer.UpdateTarget(Record("t1", "a"), kStart);
   cr_expect_not(balancer.ShouldCloseConnections(kStart));
   balancer.OnSent(TargetId("t1"), kStart);
   balancer.OnConnectionRejected(TargetId("t1"), kStart + seconds(1));
   cr_expect(balancer.ShouldCloseConnections(kStart + seconds(2)));
-  // Nothing was turned away lately: places are there again.
+  // No connection was rejected recently.
   cr_expect_not(balancer.ShouldCloseConnections(kStart + seconds(6)));
 }
 
-// Many hosts under high load: now and then a target turns one away. Its other
-// connections are kept, as each new one would cost its target time.
-Test(load_balancer, a_host_that_runs_for_long_keeps_its_connections) {
+// Guards against needless reconnections under high load, when targets
+// occasionally reject a connection. Each new connection costs the target time.
+Test(load_balancer, a_host_that_has_run_for_long_keeps_its_connections) {
   LoadBalancer balancer({.self = HostId("e"), .started = kStart});
   balancer.UpdateTarget(Record("t1", "a"), kStart);
   const TimePoint later = kStart + seconds(30);
@@ -452,9 +461,9 @@
   cr_expect_not(balancer.ShouldCloseConnections(later));
 }
 
-// Answers the pattern of shards without a target in the own zone: parts that
-// come from one other zone are merged there, and cost few bytes.
-Test(load_balancer, parts_from_afar_come_from_the_preferred_zone) {
+// Guards against high traffic between zones for shards without a target in this
+// zone. Partial answers from one other zone are merged there.
+Test(load_balancer, prefers_the_preferred_zone_among_other_zones) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("b", "b"), kStart);
   balancer.UpdateTarget(Record("c", "c"), kStart);
@@ -463,19 +472,20 @@
     SendAndAnswer(balancer, TargetId(id), milliseconds(10), kStart);
   }
   for (const char* zone : {"b", "c", "d"}) {
-    const std::vector<ZoneId> near = {ZoneId(zone)};
+    const std::vector<ZoneId> preferred = {ZoneId(zone)};
     for (int i = 0; i < 20; ++i) {
-      cr_expect(balancer.Pick(kService, {}, kStart, near) == TargetId(zone));
+      cr_expect(balancer.Pick(kService, {}, kStart, preferred) ==
+                TargetId(zone));
     }
   }
 }
 
-Test(load_balancer, its_own_zone_goes_before_the_preferred_one) {
+Test(load_balancer, prefers_its_own_zone_to_the_preferred_zone) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("a", "a"), kStart);
   balancer.UpdateTarget(Record("b", "b"), kStart);
-  const std::vector<ZoneId> near = {ZoneId("b")};
-  cr_expect(balancer.Pick(kService, {}, kStart, near) == TargetId("a"));
+  const std::vector<ZoneId> preferred = {ZoneId("b")};
+  cr_expect(balancer.Pick(kService, {}, kStart, preferred) == TargetId("a"));
 }
 
 TargetRecord RecordOfVersion(const char* id,
@@ -490,7 +500,7 @@
 
 using Splits = std::unordered_map<ServiceId, VersionSplit>;
 
-// How many of 1000 first attempts go to targets of the version.
+// Returns how many of 1000 first attempts go to targets of the version.
 int CountFirstAttempts(LoadBalancer& balancer, const char* version) {
   int count = 0;
   TimePoint now = kStart;
@@ -506,12 +516,12 @@
   return count;
 }
 
-// Guards against callers who are served by a version that nobody has ordered:
-// its targets announce themselves before the order comes, in any order of news.
-Test(load_balancer, a_version_that_nobody_ordered_gets_nothing) {
-  for (const bool new_first : {false, true}) {
+// Guards against requests to a version without a roll-out: its targets announce
+// themselves before the roll-out starts, and records arrive in any order.
+Test(load_balancer, a_version_without_a_rollout_gets_no_requests) {
+  for (const bool is_new_first : {false, true}) {
     LoadBalancer balancer = MakeBalancer(0, 1, 100);
-    if (new_first) {
+    if (is_new_first) {
       balancer.UpdateTarget(RecordOfVersion("new", "v2", 2000), kStart);
     }
     balancer.UpdateTarget(RecordOfVersion("old", "v1", 1000), kStart);
@@ -521,9 +531,9 @@
   }
 }
 
-// Guards against the same when all targets of the version in use have started
-// anew meanwhile, so that the others are the older ones.
-Test(load_balancer, the_version_in_use_stays_while_its_targets_restart) {
+// Guards against requests to a version without a roll-out after all targets of
+// the version in use have restarted, so that the other targets are older.
+Test(load_balancer, the_version_in_use_is_kept_while_its_targets_restart) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(RecordOfVersion("old", "v1", 1000),
                         kStart - seconds(2));
@@ -533,9 +543,9 @@
   cr_expect(CountFirstAttempts(balancer, "v2") == 0);
 }
 
-// Guards against a service without targets after an upgrade that was made
-// without any order: once the old ones have left, the new ones serve.
-Test(load_balancer, another_version_serves_once_the_first_has_left) {
+// Guards against a service without usable targets after an upgrade without a
+// roll-out: once the old targets have left, the new ones get the requests.
+Test(load_balancer, another_version_is_used_once_the_first_has_left) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   TargetRecord old = RecordOfVersion("old", "v1", 1000);
   balancer.UpdateTarget(old, kStart - seconds(2));
@@ -544,11 +554,11 @@
   old.phase = TargetPhase::kLeaving;
   old.sequence = 2;
   balancer.UpdateTarget(old, kStart);
-  const int got = CountFirstAttempts(balancer, "v2");
-  cr_expect(got == 1000, "%d", got);
+  const int count = CountFirstAttempts(balancer, "v2");
+  cr_expect(count == 1000, "%d", count);
 }
 
-Test(load_balancer, a_version_forgotten_for_its_silence_gives_way) {
+Test(load_balancer, another_version_is_used_once_silent_targets_are_removed) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   TargetRecord old = RecordOfVersion("old", "v1", 1000);
   balancer.UpdateTarget(old, kStart);
@@ -573,16 +583,16 @@
                                     {.stable = VersionId("v1"),
                                      .candidate = VersionId("v2"),
                                      .candidate_share = 0.1}}});
-  const int got = CountFirstAttempts(balancer, "v2");
-  cr_expect(got > 60 && got < 140, "%d", got);
+  const int count = CountFirstAttempts(balancer, "v2");
+  cr_expect(count > 60 && count < 140, "%d", count);
   for (int i = 0; i < 100; ++i) {
     cr_expect(balancer.Pick(kService, std::vector{TargetId("old")}, kStart) ==
               TargetId("old2"));
   }
 }
 
-// Guards against a candidate whose bad answers make it look expensive, so that
-// too few more of them are seen to judge it.
+// Guards against a candidate whose failures raise its cost, so that it gets too
+// few requests to be evaluated.
 Test(load_balancer, a_candidate_that_fails_keeps_its_share) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(RecordOfVersion("old", "v1", 1000), kStart);
@@ -595,14 +605,14 @@
                                     {.stable = VersionId("v1"),
                                      .candidate = VersionId("v2"),
                                      .candidate_share = 0.5}}});
-  int got = 0;
+  int count = 0;
   for (int i = 0; i < 200; ++i) {
-    got += balancer.Pick(kService, {}, kStart) == TargetId("new") ? 1 : 0;
+    count += balancer.Pick(kService, {}, kStart) == TargetId("new") ? 1 : 0;
   }
-  cr_expect(got > 70, "%d", got);
+  cr_expect(count > 70, "%d", count);
 }
 
-Test(load_balancer, a_split_that_allows_one_version_alone_is_kept_to) {
+Test(load_balancer, a_split_that_allows_one_version_excludes_the_other) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(RecordOfVersion("old", "v1", 1000), kStart);
   balancer.UpdateTarget(RecordOfVersion("new", "v2", 2000), kStart);
@@ -620,9 +630,9 @@
   cr_expect(!balancer.Pick(kService, std::vector{TargetId("old")}, kStart));
 }
 
-// Guards against a crash of a candidate target that has just started: its
-// requests come from all hosts, and while it is cold it bears few.
-Test(load_balancer, a_cold_candidate_gets_nothing) {
+// Guards against overload of a candidate target that has just started: all
+// hosts send requests to it, and while it is cold it can serve only a few.
+Test(load_balancer, a_cold_candidate_gets_no_requests) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(RecordOfVersion("old", "v1", 1000), kStart);
   TargetRecord cold = RecordOfVersion("new", "v2", 2000);
--- a/knapweedroad/routing/load_balancer_versions.cc
+++ b/knapweedroad/routing/load_balancer_versions.cc
@@ -1,4 +1,4 @@
-// Which versions of a service's targets a load balancer uses.
+// The part of LoadBalancer that chooses between the versions of a service.
 
 #include "knapweedroad/routing/load_balancer.h"
 
@@ -19,9 +19,11 @@
   }
 }
 
-// A version that nobody has ordered gets nothing while targets of the one in
-// use are there, however ill they are. All of a batch of news has one time:
-// among the first targets heard of, those that started first decide.
+// Keeps the version in use as long as any of its targets is serving or silent,
+// even if they fail, so that a version without a roll-out gets no requests.
+// All records of one update have the same `now`, so the choice may still change
+// within that update: the target that started first determines the version,
+// whatever the order of the records.
 void LoadBalancer::ChooseVersion(BalancedService& service, TimePoint now) {
   const auto is_present = [](const BalancedTarget* target) {
     return target->record.phase == TargetPhase::kServing ||
@@ -58,16 +60,18 @@
                        : target.record.version == service.version_in_use;
 }
 
-bool LoadBalancer::DrawCandidate(const VersionSplit& split, bool is_first) {
+bool LoadBalancer::ShouldPreferCandidate(const VersionSplit& split,
+                                         bool is_first_attempt) {
   if (!split.allows_stable) {
     return true;
   }
   const double drawn = static_cast<double>(this->random()) /
                        static_cast<double>(std::minstd_rand::max());
-  return is_first && drawn < split.candidate_share;
+  return is_first_attempt && drawn < split.candidate_share;
 }
 
-// By lot, not by cost: a cost that rises with bad answers would hide them.
+// Picks at random, not by cost. The cost rises with failures, so that a failing
+// candidate would get too few requests to be evaluated.
 BalancedTarget* LoadBalancer::PickCandidate(const BalancedService& service,
                                             TimePoint now) {
   BalancedTarget* chosen = nullptr;
--- a/knapweedroad/routing/target_counts.h
+++ b/knapweedroad/routing/target_counts.h
@@ -1,4 +1,5 @@
-// A service's targets by what a host believes of them, for the log.
+// The number of a service's targets in each state, as seen by one entry host,
+// for the log.
 
 #ifndef KNAPWEEDROAD_ROUTING_TARGET_COUNTS_H_
 #define KNAPWEEDROAD_ROUTING_TARGET_COUNTS_H_
@@ -7,12 +8,18 @@
 
 namespace knapweedroad {
 
-// Each target counts once, in the first of these that holds.
+// Each target is counted once, in the first field whose condition holds.
 struct TargetCounts {
-  size_t leaving = 0;    // leaves or is gone
-  size_t evacuated = 0;  // its zone is out
-  size_t silent = 0;     // its heartbeats have stopped
-  size_t ejected = 0;    // failed here, and not yet well again
+  // Draining, signed off, or replaced by another target at its address.
+  size_t leaving = 0;
+  // In an evacuated zone.
+  size_t evacuated = 0;
+  // Without heartbeats and without a recent answer to this host, or of a
+  // version that may not be used.
+  size_t silent = 0;
+  // Ejected by this host after failures, and not restored yet.
+  size_t ejected = 0;
+  // Recently started, so that it can serve only a few requests.
   size_t cold = 0;
   size_t usable = 0;
 };
