--- a/bench/query/experiment.h
+++ b/bench/query/experiment.h
@@ -63,7 +63,7 @@
   // Zero for a refusal.
   double coverage = 0.0;
   bool refused = false;
-  // Refused at the gate.
+  // Refused by the QueryLimiter.
   bool at_gate = false;
   std::string tenant;
   std::string class_name;
--- a/bench/query/query_overload_bench.cc
+++ b/bench/query/query_overload_bench.cc
@@ -1,4 +1,5 @@
-// Goodput, fairness and recovery under overload: the gate against none.
+// Goodput, fairness and recovery under overload: with and without a
+// QueryLimiter.
 //
 //   query_overload_bench --seed=1 --seconds=20
 //
--- a/knapweedroad/query/fair_share.cc
+++ b/knapweedroad/query/fair_share.cc
@@ -10,7 +10,8 @@
                                std::span<const WeightedDemand> demands) {
   std::vector<size_t> order(demands.size());
   std::iota(order.begin(), order.end(), size_t{0});
-  // Who wants least for its weight is satisfied first.
+  // The smallest demand relative to its weight is served first, so that what it
+  // leaves unused is divided among the rest.
   std::ranges::sort(order, [&demands](size_t left, size_t right) {
     return demands[left].amount / demands[left].weight <
            demands[right].amount / demands[right].weight;
--- a/knapweedroad/query/fair_share.h
+++ b/knapweedroad/query/fair_share.h
@@ -1,4 +1,4 @@
-// Weighted max-min fairness.
+// Divides a capacity by weighted max-min fairness.
 //
 //   auto shares = FairShares(10.0, {{.amount = 2, .weight = 1},
 //                                   {.amount = 50, .weight = 1}});  // 2 and 8
@@ -12,14 +12,15 @@
 namespace knapweedroad {
 
 struct WeightedDemand {
+  // In the unit of the capacity.
   double amount = 0.0;
-  // Above zero.
+  // Must be greater than zero.
   double weight = 1.0;
 };
 
-// What each may have of `capacity`, in the order given: nobody more than its
-// demand, and what one leaves over goes to the others by their
-// remaining_weight.
+// Returns the share of `capacity` for each demand, in the same order. No share
+// exceeds its demand, and capacity that a demand leaves unused is divided among
+// the others in proportion to their weights.
 std::vector<double> FairShares(double capacity,
                                std::span<const WeightedDemand> demands);
 
--- a/knapweedroad/query/front_state.h
+++ b/knapweedroad/query/front_state.h
@@ -1,5 +1,5 @@
-// What the queries of one front share on one host: measured latencies and the
-// budgets of extra attempts.
+// The state that all queries and record reads of one front share on one host:
+// recorded latencies and the budgets of hedges and retries.
 //
 //   FrontState state(front);
 //   QueryRun run({.front = front, .state = state, ...});
@@ -18,15 +18,17 @@
       : hedge_budget({.share = front.hedge_budget}),
         retry_budget({.share = front.retry_budget}) {}
 
-  // Under overload there are neither hedges nor retries, and no latency is
-  // recorded: the waits of an overload would stay in the quantiles and hold
-  // hedges back for minutes after it has ended.
+  // While overloaded, no hedges and retries are sent and no latencies are
+  // recorded. Otherwise the queueing times of an overload would stay in the
+  // quantiles and delay hedges for minutes after it has ended.
   void SetOverloaded(bool overloaded) {
     this->is_overloaded = overloaded;
     this->hedge_budget.SetSuspended(overloaded);
     this->retry_budget.SetSuspended(overloaded);
   }
 
+  // Records the latency of a target of `service` in `zone`. Does nothing while
+  // overloaded.
   void RecordLatency(const ServiceId& service,
                      const ZoneId& zone,
                      Duration latency) {
--- a/knapweedroad/query/idempotency_table.cc
+++ b/knapweedroad/query/idempotency_table.cc
@@ -47,7 +47,7 @@
                                     WaiterId waiter,
                                     TimePoint now,
                                     TimePoint deadline) {
-  this->ForgetExpired(now);
+  this->RemoveExpired(now);
   const auto found = this->by_key.find(key);
   if (found == this->by_key.end()) {
     return this->BeginNewKey(key, request, now, deadline);
@@ -57,7 +57,7 @@
     return AnswerNow(
         RefuseNotRun(400, "the key was used for another request", {}));
   }
-  // Each send starts the resend_window anew.
+  // Each send restarts the resend window.
   entry.last_sent = now;
   this->entries.splice(this->entries.end(), this->entries, found->second);
   return this->BeginExistingKey(entry, waiter, now);
@@ -82,10 +82,10 @@
               .deadline = deadline,
               .result = std::nullopt,
               .waiters = {}};
-  // A key that isn't known here may have run on the host before. If it was
-  // first sent before the takeover, its next send comes within `resend_window`
-  // of it; that one is answered with `unknown` and remembered, so that still
-  // later ones never run either.
+  // A key that is not in the table may have run on the previous host. If it was
+  // first sent before this host took over, its next send arrives less than
+  // `resend_window` after the takeover. That send gets an unknown outcome,
+  // which is stored, so that later sends do not run either.
   if (now < *since + this->options.resend_window) {
     entry.result = UnknownOutcome("it may have begun on a host that was lost");
   }
@@ -134,7 +134,7 @@
     entry.result = result;
     this->answer_bytes += bytes;
   }
-  this->ForgetExpired(now);
+  this->RemoveExpired(now);
   return waiters;
 }
 
@@ -182,11 +182,11 @@
   this->by_key.emplace(inserted->key, inserted);
 }
 
-void IdempotencyTable::ForgetExpired(TimePoint now) {
+void IdempotencyTable::RemoveExpired(TimePoint now) {
   while (!this->entries.empty()) {
     const Entry& oldest = this->entries.front();
-    const bool runs = !oldest.result && now < oldest.deadline;
-    if (runs || now <= oldest.last_sent + this->options.resend_window) {
+    const bool is_running = !oldest.result && now < oldest.deadline;
+    if (is_running || now <= oldest.last_sent + this->options.resend_window) {
       return;
     }
     this->Erase(this->entries.begin());
@@ -205,9 +205,9 @@
   if (this->entries.empty()) {
     return kDefaultRetryAfter;
   }
-  const TimePoint forgotten =
+  const TimePoint expires =
       this->entries.front().last_sent + this->options.resend_window;
-  return std::max<Duration>(forgotten - now, Duration::zero());
+  return std::max<Duration>(expires - now, Duration::zero());
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/query/idempotency_table.h
+++ b/knapweedroad/query/idempotency_table.h
@@ -1,5 +1,5 @@
-// Remembers which keyed requests have begun, on the one host that is
-// responsible for a key, so that a resend never runs a second time.
+// The requests with an idempotency key that this host has started, so that a
+// repeated send of a key does not run again.
 //
 //   IdempotencyTable table({.responsible_since = since});
 //   BeginResult start = table.Begin(key, record, waiter, now, deadline);
@@ -7,13 +7,6 @@
 //     ... run a LookupRun ...
 //     for (WaiterId waiter : table.Finish(key, result, now)) { ... }
 //   }
-//
-// What it promises: a key runs at most once as long as no two sends of it in
-// a row are more than `resend_window` apart. Later resends are not protected:
-// the memory is bounded, and a key that has been quiet for `resend_window` is
-// forgotten. While more than `max_keys` keys are younger than that, new ones
-// are refused as not run; none is forgotten early. So at most max_keys /
-// resend_window new keys a second are served in the long run.
 
 #ifndef KNAPWEEDROAD_QUERY_IDEMPOTENCY_TABLE_H_
 #define KNAPWEEDROAD_QUERY_IDEMPOTENCY_TABLE_H_
@@ -34,70 +27,97 @@
 
 namespace knapweedroad {
 
-// One caller that waits for a key's result.
+// Identifies one caller that waits for a key's result; chosen by the user of
+// the table.
 using WaiterId = uint64_t;
 
+// What the caller of Begin() has to do.
 enum class BeginDecision : uint8_t {
-  kRun,     // nobody has begun it: run it, then call Finish()
-  kWait,    // it runs; Finish() returns the waiter
-  kAnswer,  // answer with `result` at once; nothing runs
+  // The key is new: run the request, then call Finish().
+  kRun,
+  // The request is running: wait until Finish() returns this waiter.
+  kWait,
+  // Do not run the request: answer with `result` at once.
+  kAnswer,
 };
 
 struct BeginResult {
   BeginDecision decision = BeginDecision::kAnswer;
-  // With kAnswer only.
+  // Set for kAnswer only.
   std::optional<RecordResult> result;
 };
 
-// One key as it is handed to the next responsible host.
+// One key in the form in which it is exported to the next responsible host.
 struct IdempotencyRecord {
   std::string key;
   std::string request;
   RecordResult result;
-  // How long ago the key was last sent.
+  // The time since the key was last sent, at the export.
   Duration since_last_send{};
 };
 
 struct IdempotencyTableOptions {
-  // Longer than the front's longest deadline.
+  // How long after its last send a key is kept. Must exceed the longest
+  // timeout of a request on the front.
   Duration resend_window = std::chrono::seconds(120);
+  // The maximum number of keys in the table.
   size_t max_keys = 50'000;
-  // Answers that are kept, all together. Of those that don't fit it is only
-  // remembered that they ran.
+  // The maximum total size of the stored answers. For an answer that does not
+  // fit, the table stores only that the request ran.
   size_t max_answer_bytes = 64 << 20;
-  // Since when this host has been the only one that may begin this key;
-  // nothing while it isn't. Earlier than the lease only where the table of
-  // the one before was imported whole.
+  // Returns the time since which only this host may run requests with this
+  // key, or nullopt if it may not. A time before the start of this host's
+  // responsibility is valid only if the whole table of the previous host was
+  // imported, or if it is certain that this is the key's first send.
   std::function<std::optional<TimePoint>(std::string_view key)>
       responsible_since;
 };
 
+// Guarantees that a key runs at most once, as long as consecutive sends of it
+// are at most `resend_window` apart. Later sends are not protected, because
+// memory is bounded: a key is removed once it has not been sent for
+// `resend_window`, or at once if its run ended as `kNotRun`. While the table
+// holds `max_keys` keys, requests with new keys are refused as not run, so the
+// sustained rate is at most max_keys / resend_window new keys per second.
 class IdempotencyTable {
  public:
   explicit IdempotencyTable(IdempotencyTableOptions options);
 
-  // `key` is unique across tenants and fronts: the caller of this function
-  // puts them in. `request` tells what is asked for; the same key with
-  // another one is refused. `deadline` is that of the run.
+  // Decides what to do with one send of a key. `key` must be unique across
+  // tenants and fronts, so it has to contain both. `request` identifies what is
+  // requested. `deadline` is that of the run that this send may start; after
+  // it, a run without a recorded result counts as ended with unknown outcome.
+  //
+  // Returns kAnswer with the stored result of a run that has ended, or with an
+  // error of
+  // - status 400, not run: the key was sent with another `request` before;
+  // - status 503, not run: this host is not responsible for the key, or the
+  //   table is full; `retry_after` is then the time until a key is removed;
+  // - status 503, outcome unknown: the key may have run on an earlier host, or
+  //   its run has passed its deadline without a result.
   BeginResult Begin(std::string_view key,
                     std::string_view request,
                     WaiterId waiter,
                     TimePoint now,
                     TimePoint deadline);
 
-  // The run that Begin() allowed has ended; returns who waits besides its own
-  // caller. A key that provably did not run is free again.
+  // Records the result of a run that Begin() allowed, and returns the waiters
+  // to answer with it; the caller that started the run is not among them. A key
+  // whose result is `kNotRun` is removed and may run again. Only the first
+  // result of a run counts; later calls change nothing and return no waiters.
   std::vector<WaiterId> Finish(std::string_view key,
                                const RecordResult& result,
                                TimePoint now);
 
-  // The waiter has left.
+  // Removes a waiter that no longer waits. Finish() does not return it.
   void RemoveWaiter(std::string_view key, WaiterId waiter);
 
-  // For a planned handover: all keys, those that still run as unknown. The
-  // caller has stopped calling Begin() before.
+  // Returns all keys, for a planned handover to another host. Keys that are
+  // still running are exported with an unknown outcome. Begin() must not be
+  // called any more.
   std::vector<IdempotencyRecord> Export(TimePoint now) const;
-  // Keys that are known here already stay as they are.
+  // Adds keys that another host exported. Keys that are in the table already
+  // are not changed.
   void Import(std::vector<IdempotencyRecord> records, TimePoint now);
 
   size_t size() const { return this->entries.size(); }
@@ -108,7 +128,7 @@
     std::string request;
     TimePoint last_sent;
     TimePoint deadline;
-    // Nothing while it runs.
+    // Unset while the request runs.
     std::optional<RecordResult> result;
     std::vector<WaiterId> waiters;
   };
@@ -120,16 +140,19 @@
                           TimePoint deadline);
   BeginResult BeginExistingKey(Entry& entry, WaiterId waiter, TimePoint now);
   void Insert(Entry entry);
-  void ForgetExpired(TimePoint now);
+  // Removes the keys that were last sent more than `resend_window` ago. A key
+  // that is running is kept until its deadline, and so are all keys after it.
+  void RemoveExpired(TimePoint now);
   void Erase(Entries::iterator entry);
-  // How long until the oldest key is forgotten.
+  // Returns the time until the oldest key expires.
   Duration TimeUntilFreeEntry(TimePoint now) const;
 
   IdempotencyTableOptions options;
-  // By the time of the last send, oldest first.
+  // Ordered by the time of the last send, oldest first.
   Entries entries;
-  // The views are of the keys in `entries`.
+  // The map's keys refer to the strings in `entries`.
   std::unordered_map<std::string_view, Entries::iterator> by_key;
+  // The total size of the stored answers.
   size_t answer_bytes = 0;
 };
 
--- a/knapweedroad/query/idempotency_table_test.cc
+++ b/knapweedroad/query/idempotency_table_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::seconds;
 
-// A table of a host that has been responsible for a day.
+// The table of a host that has been responsible for all keys for a day.
 class IdempotencyTableFixture {
  public:
   explicit IdempotencyTableFixture(size_t max_keys = 10)
@@ -49,9 +49,9 @@
   return std::get<QueryRefusal>(*start.result).outcome;
 }
 
-Test(IdempotencyTable, AResendWaitsForTheFirstAndGetsItsAnswer) {
-  // Two letters: the caller resends through another host while the first
-  // lookup runs, and both run.
+Test(IdempotencyTable, AResendWaitsForTheRunAndGetsItsAnswer) {
+  // Guards against a second run when the caller resends through another host
+  // while the first lookup runs.
   IdempotencyTableFixture fixture;
   cr_assert(fixture.Begin("k", 0).decision == BeginDecision::kRun);
   cr_assert(fixture.Begin("k", 1, 7).decision == BeginDecision::kWait);
@@ -62,14 +62,14 @@
   cr_assert(*again.result == Record("first"));
 }
 
-Test(IdempotencyTable, AnUnknownOutcomeStaysUnknown) {
+Test(IdempotencyTable, StoresAnUnknownOutcome) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Finish("k", Refusal(RunOutcome::kUnknown), 1);
   cr_assert(OutcomeOf(fixture.Begin("k", 2)) == RunOutcome::kUnknown);
 }
 
-Test(IdempotencyTable, AKeyThatDidNotRunIsFreeAgain) {
+Test(IdempotencyTable, AKeyThatDidNotRunMayRunAgain) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Begin("k", 0, 7);
@@ -77,10 +77,10 @@
   cr_assert(fixture.Begin("k", 2).decision == BeginDecision::kRun);
 }
 
-Test(IdempotencyTable, AKeyThatMayHaveBegunBeforeTheTakeoverNeverRuns) {
-  // Two letters: the responsible host dies with a lookup in hand, the caller
-  // resends, and the next host has never heard of the key. It resends again
-  // after the resend_window has passed since the takeover.
+Test(IdempotencyTable, AKeyThatMayHaveRunBeforeTheTakeoverNeverRuns) {
+  // Guards against a second run when the responsible host fails during a lookup
+  // and the next host has no record of the key. The caller resends within the
+  // window after the takeover, and again after it.
   IdempotencyTableFixture fixture;
   fixture.since = fixture.At(0);
   cr_assert(OutcomeOf(fixture.Begin("k", 59)) == RunOutcome::kUnknown);
@@ -88,13 +88,13 @@
   cr_assert(fixture.Begin("new", 100).decision == BeginDecision::kRun);
 }
 
-Test(IdempotencyTable, AHostThatIsNotResponsibleBeginsNothing) {
+Test(IdempotencyTable, RefusesNewKeysWhileNotResponsible) {
   IdempotencyTableFixture fixture;
   fixture.since = std::nullopt;
   cr_assert(OutcomeOf(fixture.Begin("k", 0)) == RunOutcome::kNotRun);
 }
 
-Test(IdempotencyTable, EachSendStartsTheWindowAnew) {
+Test(IdempotencyTable, EachSendRestartsTheResendWindow) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Finish("k", Record("first"), 1);
@@ -102,11 +102,12 @@
     cr_assert(fixture.Begin("k", second).decision == BeginDecision::kAnswer);
   }
   cr_assert(fixture.Begin("k", 520).decision == BeginDecision::kRun,
-            "the stated bound: 70 s after the last send");
+            "a key may run again 70 s after its last send");
 }
 
-Test(IdempotencyTable, FullOfYoungKeysItRefusesNewOnesAndForgetsNone) {
-  // Two letters: a burst of lookups pushes an unfinished key out of memory.
+Test(IdempotencyTable, RefusesNewKeysWhenFullAndEvictsNone) {
+  // Guards against a second run after a burst of lookups has evicted a key that
+  // may still be resent.
   IdempotencyTableFixture fixture(2);
   fixture.Begin("a", 0);
   fixture.Finish("a", Record("first"), 1);
@@ -117,20 +118,20 @@
   cr_assert(*fixture.Begin("a", 21).result == Record("first"));
 }
 
-Test(IdempotencyTable, ARunWhoseEndWasNotSeenIsUnknown) {
+Test(IdempotencyTable, ARunPastItsDeadlineHasUnknownOutcome) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   cr_assert(OutcomeOf(fixture.Begin("k", 6)) == RunOutcome::kUnknown);
 }
 
-Test(IdempotencyTable, AnAnswerThatIsNotKeptStillRan) {
+Test(IdempotencyTable, AnAnswerTooLargeToStoreCountsAsRun) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Finish("k", Record(std::string(101, 'x').c_str()), 1);
   cr_assert(OutcomeOf(fixture.Begin("k", 2)) == RunOutcome::kRun);
 }
 
-Test(IdempotencyTable, AKeyIsOfOneRequest) {
+Test(IdempotencyTable, RefusesAKeyWithAnotherRequest) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   const auto other =
@@ -138,7 +139,7 @@
   cr_assert_eq(std::get<QueryRefusal>(*other.result).status, 400);
 }
 
-Test(IdempotencyTable, AHandoverTakesAllKeysAlong) {
+Test(IdempotencyTable, AHandoverTransfersAllKeys) {
   IdempotencyTableFixture before;
   before.Begin("done", 0);
   before.Finish("done", Record("first"), 1);
@@ -149,7 +150,7 @@
   cr_assert(OutcomeOf(after.Begin("running", 11)) == RunOutcome::kUnknown);
 }
 
-Test(IdempotencyTable, AWaiterThatLeftIsNotAnswered) {
+Test(IdempotencyTable, DoesNotReturnARemovedWaiter) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Begin("k", 1, 7);
@@ -157,7 +158,7 @@
   cr_assert(fixture.Finish("k", Record("first"), 2).empty());
 }
 
-Test(IdempotencyTable, AKeyThatIsSentAgainDoesNotKeepOthersInMemory) {
+Test(IdempotencyTable, AResentKeyDoesNotDelayTheExpiryOfOthers) {
   IdempotencyTableFixture fixture(2);
   fixture.Begin("a", 0);
   fixture.Begin("b", 10);
@@ -165,7 +166,7 @@
   cr_assert(fixture.Begin("c", 75).decision == BeginDecision::kRun);
 }
 
-Test(IdempotencyTable, AnImportedKeyIsForgottenByItsOwnAge) {
+Test(IdempotencyTable, AnImportedKeyExpiresByItsOwnLastSend) {
   IdempotencyTableFixture fixture(2);
   fixture.Begin("young", 50);
   IdempotencyRecord old{"old", "r-1", Record("first"), seconds(40)};
@@ -173,9 +174,9 @@
   cr_assert(fixture.Begin("c", 75).decision == BeginDecision::kRun);
 }
 
-Test(IdempotencyTable, AnImportLeavesKnownKeysAlone) {
-  // Two letters: a key is imported twice, and forgetting one of the copies
-  // frees it while the other is young.
+Test(IdempotencyTable, AnImportDoesNotChangeExistingKeys) {
+  // Guards against a second run when an import adds a second entry for a key:
+  // the expiry of the older entry would free the key too early.
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 50);
   IdempotencyRecord old{"k", "r-1", Record("first"), seconds(55)};
@@ -183,7 +184,7 @@
   cr_assert(fixture.Begin("k", 60).decision != BeginDecision::kRun);
 }
 
-Test(IdempotencyTable, TheFirstResultStands) {
+Test(IdempotencyTable, KeepsTheFirstResult) {
   IdempotencyTableFixture fixture;
   fixture.Begin("k", 0);
   fixture.Finish("k", Refusal(RunOutcome::kUnknown), 1);
@@ -191,7 +192,7 @@
   cr_assert(OutcomeOf(fixture.Begin("k", 3)) == RunOutcome::kUnknown);
 }
 
-Test(IdempotencyTable, AKeyThatRunsIsNeverForgotten) {
+Test(IdempotencyTable, ARunningKeyDoesNotExpire) {
   IdempotencyTableFixture fixture;
   fixture.table.Begin("k", "r-1", 0, fixture.At(0), fixture.At(100));
   cr_assert(fixture.Begin("k", 70, 7).decision == BeginDecision::kWait);
--- a/knapweedroad/query/lookup_run.h
+++ b/knapweedroad/query/lookup_run.h
@@ -1,14 +1,10 @@
-// One caller's non-idempotent lookup: it runs at most once.
+// Runs one caller's non-idempotent lookup, at most once.
 //
 //   LookupRun run({.front = front, .service = service, .own_zone = zone,
 //                  .start = now, .deadline = now + 200ms, .hooks = hooks});
-//   Do(run.Start(now));
-//
-// A lookup runs at most once: one attempt is in flight at a time, and the next
-// is sent only after proof that the last did not run; all doubt is passed on to
-// the caller as `unknown`.
-//
-// It runs on the host responsible for the key, behind an IdempotencyTable.
+//   Perform(run.Start(now));
+//   Perform(run.OnReply(attempt, reply, now));   // when a reply arrives
+//   Perform(run.OnTimer(now));                   // at run.NextWake()
 
 #ifndef KNAPWEEDROAD_QUERY_LOOKUP_RUN_H_
 #define KNAPWEEDROAD_QUERY_LOOKUP_RUN_H_
@@ -28,24 +24,36 @@
 namespace knapweedroad {
 
 struct LookupRunOptions {
-  // It outlives the run.
+  // Must outlive the run.
   const FrontConfig& front;
+  // The service that holds the record.
   ServiceId service;
+  // The zone of this host.
   ZoneId own_zone;
+  // When the caller's request arrived, and when the caller stops waiting.
   TimePoint start;
   TimePoint deadline;
+  // How long before `deadline` the result is sent; see AnswerBy().
   Duration return_margin = kDefaultReturnMargin;
   QueryHooks hooks;
 };
 
-// There is no way to abandon it: a caller that left may send the key again,
-// and then gets this run's answer.
+// Guarantees that the lookup runs at most once: one attempt is in flight at a
+// time, and the next one is sent only if it is certain that the last one did
+// not run. In all other failures the caller gets the attempt's outcome, which
+// is `kUnknown` if the lookup may have run. It does no I/O: its functions
+// return the actions that the host performs.
+//
+// It runs on the host responsible for the request's idempotency key, after
+// IdempotencyTable::Begin() has returned kRun. It cannot be abandoned: a caller
+// that disconnects may send the key again, and then gets this run's result.
 class LookupRun {
  public:
   explicit LookupRun(LookupRunOptions options);
 
-  // As those of RecordRun. A cancel at the deadline doesn't make the outcome
-  // known: it stays `unknown`.
+  // These behave as in RecordRun, but OnTimer() sends no attempt. If an attempt
+  // is in flight when the time is up, it is cancelled and the outcome is
+  // `kUnknown`, as it may have run nevertheless.
   RecordStep Start(TimePoint now);
   RecordStep OnReply(const AttemptId& attempt,
                      RecordReply reply,
@@ -59,14 +67,18 @@
   bool finished() const { return this->is_finished; }
 
  private:
+  // Sends an attempt to a target that was not tried yet. Finishes with an error
+  // if there is none or the time is up.
   void SendOrRefuse(TimePoint now, RecordStep& step);
   void Refuse(QueryRefusal refusal, RecordStep& step);
 
   LookupRunOptions options;
+  // When the result is sent at the latest; also the deadline of each attempt.
   TimePoint answer_by;
-  // The one attempt in flight.
+  // The attempt in flight, if any; there is never a second one.
   std::optional<InFlightAttempt> in_flight;
   std::vector<TargetId> tried_targets;
+  // The shortest `retry_after` of all failures, if any had one.
   std::optional<Duration> shortest_retry_after;
   bool is_finished = false;
 };
--- a/knapweedroad/query/query_limiter.cc
+++ b/knapweedroad/query/query_limiter.cc
@@ -9,19 +9,25 @@
 namespace knapweedroad {
 namespace {
 
+// The time constant of the decay of Flow's counts, and how long a refusal
+// counts as overload.
 constexpr Duration kCountDecayTime = std::chrono::seconds(1);
-// Room above the limit for those under their share, as a part of the limit and
-// at least.
+// How far flows under their fair share may exceed the limit: by this fraction
+// of it, but by at least kMinExtraLimit queries.
 constexpr double kExtraLimitFraction = 0.5;
 constexpr double kMinExtraLimit = 1.0;
+// The factor by which congestion reduces the limit.
 constexpr double kLimitReductionFactor = 0.8;
-// Weight of the last query in the share of is_congested ones, and the share
-// above which the limit shrinks. A straggler now and then isn't
-// congested_fraction.
+// The weight of the last query in the fraction of congested ones, and the
+// fraction above which the limit is reduced. It is well above zero because a
+// single slow query is not congestion.
 constexpr double kCongestionSampleWeight = 0.05;
 constexpr double kCongestedFractionThreshold = 0.25;
+// The limit grows only while at least this fraction of it is in use.
 constexpr double kLimitUsedFraction = 0.8;
+// The maximum total weight of the histogram of durations, in queries.
 constexpr double kDurationHistogramWindow = 500.0;
+// The quantile of recent durations that a query's deadline must allow.
 constexpr double kFastQueryQuantile = 0.1;
 constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 constexpr double kMaxRetryAfterSeconds = 10.0;
@@ -48,9 +54,9 @@
     return this->Refuse(503, "it can't be done by its deadline", now);
   }
   if (this->in_flight_queries >= this->in_flight_limit) {
-    // Tenants under their share have some room above the limit, and while they
-    // use it nobody else is let in: free slots would go to whoever asks most
-    // often.
+    // Flows under their share may exceed the limit. While they do, no other
+    // flow is admitted: otherwise each free slot would go to the flow that
+    // sends the most queries.
     if (this->IsOverFairShare(key)) {
       return this->Refuse(429, "the tenant or class is over its share", now);
     }
@@ -168,8 +174,8 @@
   return this->flows.at(key).admitted >= std::max(share, 1.0);
 }
 
-// Never with nothing in flight: the durations are those of queries that were
-// admitted, and if all were refused no shorter one would ever be seen.
+// Always false while nothing is in flight. Only admitted queries are measured,
+// so if all were refused, no shorter duration would ever be recorded.
 bool QueryLimiter::CannotMeetDeadline(const QueryAdmissionRequest& request,
                                       TimePoint now) const {
   const auto fast_duration = this->durations.Quantile(kFastQueryQuantile);
@@ -177,8 +183,9 @@
          now + *fast_duration > request.deadline;
 }
 
-// Truthful in the mean: if all that is refused now came back spread over this
-// time, the front could take it.
+// `retry_after` is the time in which the front can serve the queries of the
+// last second: if all refused queries return evenly spread over that time, the
+// front can admit them.
 QueryRefusal QueryLimiter::Refuse(int status,
                                   const char* detail,
                                   TimePoint now) {
@@ -191,18 +198,18 @@
   }
   const double seconds =
       std::min(arrived / std::max(admitted, 1.0), kMaxRetryAfterSeconds);
-  const auto wait = std::chrono::duration_cast<Duration>(
+  const auto retry_after = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(seconds));
   return {.status = status,
           .title = "Overloaded",
           .detail = detail,
           .outcome = RunOutcome::kNotRun,
-          .retry_after = std::max(wait, kMinRetryAfter)};
+          .retry_after = std::max(retry_after, kMinRetryAfter)};
 }
 
 void QueryLimiter::ReduceLimit(TimePoint now, Duration duration) {
-  // Once in the time of a query: what is in flight was admitted under the
-  // limit of before.
+  // Queries that finish within this time were admitted under the limit before
+  // the last reduction, so they say nothing about the present limit.
   if (this->last_reduced && now - *this->last_reduced < duration) {
     return;
   }
--- a/knapweedroad/query/query_limiter_test.cc
+++ b/knapweedroad/query/query_limiter_test.cc
@@ -12,7 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A front of two tenants whose queries take 40 ms of their 400.
+// A front of two tenants whose queries take 40 ms and have a timeout of 400 ms.
+// At most 8 are in flight, so it admits about 200 queries per second.
 class QueryLimiterFixture {
  public:
   QueryLimiterFixture() {
@@ -22,7 +23,7 @@
                             .class_weights = {{"desk", 8}, {"archive", 1}}}};
   }
 
-  // Ends what is due, then asks at the fixture.
+  // Finishes the queries that end by `at`, then tries to admit one.
   std::optional<QueryRefusal> TryAdmit(const char* tenant,
                                        const char* class_name,
                                        Duration at,
@@ -43,7 +44,8 @@
     return refusal;
   }
 
-  // Open-loop arrivals at each `interval`; the share that was admitted.
+  // Sends one query per `interval`, beside 1000 queries per second of the heavy
+  // tenant, and returns the fraction of the former that was admitted.
   double AdmittedFraction(const char* tenant,
                           const char* class_name,
                           Duration interval,
@@ -79,7 +81,7 @@
   uint32_t refused_sub_requests = 0;
 };
 
-Test(FairShares, WhatOneLeavesOverGoesToTheOthersByWeight) {
+Test(FairShares, DividesUnusedCapacityByWeight) {
   const std::vector<WeightedDemand> demands{{100, 3}, {2, 1}, {100, 1}};
   const auto shares = FairShares(10, demands);
   cr_assert_float_eq(shares[0], 6.0, 1e-9);
@@ -87,7 +89,7 @@
   cr_assert_float_eq(shares[2], 2.0, 1e-9);
 }
 
-Test(QueryLimiter, RefusesWholeQueriesAtOnceOnceItIsFull) {
+Test(QueryLimiter, RefusesQueriesAtTheLimit) {
   QueryLimiterFixture fixture;
   for (int query = 0; query < 8; ++query) {
     cr_assert(!fixture.TryAdmit("heavy", "normal", milliseconds(0)));
@@ -101,18 +103,19 @@
   cr_assert(!fixture.limiter.IsOverloaded(refused_at + seconds(1)));
 }
 
-Test(QueryLimiter, ALightTenantIsServedBesideAHeavyOne) {
-  // One tenant's backfill shuts out all others: 1000 queries a second against
-  // their 20, at a door that lets 200 a second in.
+Test(QueryLimiter, AdmitsALightTenantBesideAHeavyOne) {
+  // Without fair shares, a tenant that sends 1000 queries per second takes
+  // nearly all of the 200 that are admitted, and one that sends 20 gets none.
   QueryLimiterFixture fixture;
   const double admitted = fixture.AdmittedFraction(
       "light", "desk", milliseconds(50), {}, seconds(10));
   cr_assert_gt(admitted, 0.8, "%f", admitted);
 }
 
-Test(QueryLimiter, AFavouredClassGoesBeforeTheRestOfItsTenant) {
-  // The radio desks of a tenant wait behind its own_index archive scan, after
-  // another tenant's load has ended. The door lets 200 a second in.
+Test(QueryLimiter, PrefersTheClassWithTheHigherWeight) {
+  // Guards against interactive queries of a tenant being refused because its
+  // own batch queries use the whole limit, after another tenant's load has
+  // ended.
   QueryLimiterFixture fixture;
   fixture.AdmittedFraction("heavy", "normal", milliseconds(1), {}, seconds(2));
   double desk = 0;
@@ -127,8 +130,8 @@
   cr_assert_gt(archive, 200, "%f", archive);
 }
 
-Test(QueryLimiter, MadeUpClassesGainNothing) {
-  // A caller gets a share for each class name it invents.
+Test(QueryLimiter, UnconfiguredClassesShareOneFlow) {
+  // Guards against a caller getting a share for each class name it invents.
   QueryLimiterFixture fixture;
   double invented = 0;
   double archive = 0;
@@ -141,8 +144,9 @@
   cr_assert_lt(invented, 1.2 * archive, "%f %f", invented, archive);
 }
 
-Test(QueryLimiter, ThoseUnderTheirShareAreBoundedToo) {
-  // Targets drown although each of many tenants is under its share.
+Test(QueryLimiter, BoundsTheExcessOfTenantsUnderTheirShare) {
+  // Guards against overloaded targets when many tenants send queries and each
+  // is under its share.
   QueryLimiterFixture fixture;
   for (int tenant = 0; tenant < 100; ++tenant) {
     const std::string tenant_name = "tenant-" + std::to_string(tenant);
@@ -151,7 +155,7 @@
   cr_assert_eq(fixture.limiter.in_flight(), 12);
 }
 
-Test(QueryLimiter, RefusalsOfTargetsAndSlownessShrinkTheLimit) {
+Test(QueryLimiter, RefusedSubRequestsAndSlowQueriesReduceTheLimit) {
   QueryLimiterFixture fixture;
   fixture.refused_sub_requests = 1;
   fixture.AdmittedFraction("light", "desk", milliseconds(50), {}, seconds(2));
@@ -163,9 +167,9 @@
   cr_assert_lt(slow_fixture.limiter.limit(), 3.0);
 }
 
-Test(QueryLimiter, OneBurstOfSlowQueriesShrinksTheLimitOnce) {
-  // A pause of a second shrinks the limit to nothing: all that was in flight
-  // is is_slow, and each of these queries counts as news.
+Test(QueryLimiter, ABurstOfSlowQueriesReducesTheLimitOnce) {
+  // Guards against a pause of a second reducing the limit to the minimum: all
+  // queries in flight are slow then, and each of them would reduce the limit.
   QueryLimiterFixture fixture;
   QueryLimiter limiter({.front = fixture.front, .initial_limit = 100.0});
   const TimePoint start{seconds(100)};
@@ -181,9 +185,9 @@
   cr_assert_eq(limiter.limit(), 80.0);
 }
 
-Test(QueryLimiter, TwoSecondsAfterAnOverloadNothingIsRefused) {
-  // An outage that outlives its cause: the load is back to normal, but the
-  // front goes on refusing with the limit of the bad times.
+Test(QueryLimiter, RefusesNothingTwoSecondsAfterAnOverload) {
+  // Guards against an outage that persists after its cause: the load is normal
+  // again, but queries are still refused by the limit reduced under overload.
   QueryLimiterFixture fixture;
   fixture.refused_sub_requests = 1;
   fixture.AdmittedFraction("light", "desk", milliseconds(50), {}, seconds(5));
@@ -197,7 +201,7 @@
   cr_assert_eq(refused, 0);
 }
 
-Test(QueryLimiter, WhatCantBeDoneInTimeIsRefused) {
+Test(QueryLimiter, RefusesQueriesThatCannotMeetTheirDeadline) {
   QueryLimiterFixture fixture;
   for (int at = 0; at < 2'000; at += 10) {
     fixture.TryAdmit("heavy", "normal", milliseconds(at));
@@ -206,9 +210,10 @@
                              milliseconds(20)));
 }
 
-Test(QueryLimiter, WithNothingInFlightAShortDeadlineIsTried) {
-  // Refused for ever: queries were is_slow once, all callers have deadlines
-  // shorter than that, and as none is admitted nobody sees that it is over.
+Test(QueryLimiter, AdmitsAShortDeadlineWhenNothingIsInFlight) {
+  // Guards against refusing queries for ever: if all deadlines are shorter than
+  // the recorded durations and no query is admitted, no shorter duration is
+  // ever recorded.
   QueryLimiterFixture fixture;
   for (int at = 0; at < 2'000; at += 10) {
     fixture.TryAdmit("heavy", "normal", milliseconds(at));
--- a/knapweedroad/query/record_reply.h
+++ b/knapweedroad/query/record_reply.h
@@ -1,4 +1,4 @@
-// What a target answered to the read of one record.
+// A target's reply to the read or lookup of one record.
 
 #ifndef KNAPWEEDROAD_QUERY_RECORD_REPLY_H_
 #define KNAPWEEDROAD_QUERY_RECORD_REPLY_H_
@@ -11,7 +11,7 @@
 
 struct RecordReply {
   SnapshotId snapshot;
-  // False where the target answered that there is no such record.
+  // False if the target replied that the record does not exist.
   bool found = true;
   // The record as the target sent it.
   std::string body;
--- a/knapweedroad/query/record_run_test.cc
+++ b/knapweedroad/query/record_run_test.cc
@@ -1,4 +1,4 @@
-// Record reads and lookups.
+// Tests of RecordRun and LookupRun.
 
 #include "knapweedroad/query/record_run.h"
 
@@ -42,7 +42,7 @@
   return std::get<QueryRefusal>(*step.result).outcome;
 }
 
-Test(RecordRun, IsHedgedAndTheFirstAnswerWins) {
+Test(RecordRun, SendsAHedgeAndUsesTheFirstReply) {
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   auto run = MakeRecordRun(fixture);
@@ -57,7 +57,7 @@
       !run.OnReply(first[0].attempt, {.body = "s"}, fixture.At(21)).result);
 }
 
-Test(RecordRun, RefusesAtOnceWhenAllReplicasHave) {
+Test(RecordRun, FailsAtOnceWhenAllReplicasRefused) {
   QueryTestFixture fixture;
   auto run = MakeRecordRun(fixture);
   const auto first = Sends(run.Start(fixture.At(0)).actions);
@@ -70,7 +70,7 @@
   cr_assert(refusal.retry_after == milliseconds(300));
 }
 
-Test(RecordRun, AnAttemptCutOffByTheDeadlineMayHaveRun) {
+Test(RecordRun, AnAttemptCancelledAtTheDeadlineMayHaveRun) {
   QueryTestFixture fixture;
   auto run = MakeRecordRun(fixture);
   run.Start(fixture.At(0));
@@ -80,8 +80,9 @@
   cr_assert_eq(Cancels(last.actions).size(), 1);
 }
 
-Test(LookupRun, IsNeverHedged) {
-  // Two correction letters: a slow lookup is sent to a second searcher too.
+Test(LookupRun, SendsNoHedge) {
+  // Guards against a slow lookup that is also sent to a second target and runs
+  // twice.
   QueryTestFixture fixture;
   fixture.RecordLatencies(milliseconds(10));
   auto run = MakeLookupRun(fixture);
@@ -90,9 +91,9 @@
   cr_assert(*run.NextWake() == fixture.At(90));
 }
 
-Test(LookupRun, IsSentAgainOnlyAfterProofThatItDidNotRun) {
-  // Two correction letters: the target ran the lookup, its answer was lost
-  // with the connection, and the tier sends it to another one.
+Test(LookupRun, RetriesOnlyIfTheAttemptDidNotRun) {
+  // Guards against a second run on another target when the first target ran the
+  // lookup and its reply was lost because the connection failed.
   QueryTestFixture fixture;
   auto run = MakeLookupRun(fixture);
   const auto first = Sends(run.Start(fixture.At(0)).actions);
@@ -105,8 +106,9 @@
   cr_assert(OutcomeOf(last) == RunOutcome::kUnknown);
 }
 
-Test(LookupRun, AfterTheDeadlineItsOutcomeIsUnknown) {
-  // A caller is told "not run" for a lookup whose cancel came too late.
+Test(LookupRun, TheOutcomeIsUnknownAtTheDeadline) {
+  // Guards against reporting "not run" for a lookup that ran because its cancel
+  // arrived too late.
   QueryTestFixture fixture;
   auto run = MakeLookupRun(fixture);
   run.Start(fixture.At(0));
@@ -114,7 +116,7 @@
   cr_assert(OutcomeOf(last) == RunOutcome::kUnknown);
 }
 
-Test(LookupRun, WhatComesLateOfAnEarlierAttemptIsIgnored) {
+Test(LookupRun, IgnoresLateResultsOfEarlierAttempts) {
   QueryTestFixture fixture;
   auto run = MakeLookupRun(fixture);
   const auto first = Sends(run.Start(fixture.At(0)).actions);
@@ -127,7 +129,7 @@
   cr_assert(!late.result);
 }
 
-Test(LookupRun, RefusedByAllItDidNotRun) {
+Test(LookupRun, DidNotRunIfAllTargetsRefused) {
   QueryTestFixture fixture;
   fixture.targets[ServiceId("s1")].pop_back();
   auto run = MakeLookupRun(fixture);
--- a/knapweedroad/query/target_attempt_failure.h
+++ b/knapweedroad/query/target_attempt_failure.h
@@ -1,4 +1,4 @@
-// The reason why one attempt returned no usable reply.
+// The reason why one attempt at a target returned no usable reply.
 
 #ifndef KNAPWEEDROAD_QUERY_TARGET_ATTEMPT_FAILURE_H_
 #define KNAPWEEDROAD_QUERY_TARGET_ATTEMPT_FAILURE_H_
