--- a/knapweedroad/edge/entry_host_wiring.cc
+++ b/knapweedroad/edge/entry_host_wiring.cc
@@ -94,7 +94,7 @@
                    },
                .on_zones_out =
                    [this](const std::vector<ZoneId>& zones) {
-                     this->balancer.SetEvacuatedZones(zones);
+                     this->balancer.SetZonesOutOfService(zones);
                    },
                .on_rollouts =
                    [this](const std::vector<RolloutRecord>& agreed) {
--- a/knapweedroad/edge/unserved_services.cc
+++ b/knapweedroad/edge/unserved_services.cc
@@ -25,7 +25,7 @@
     }
     const TargetCounts counts = balancer.CountTargets(service, now);
     text += service.str() + "(leaving:" + std::to_string(counts.leaving) +
-            ",out:" + std::to_string(counts.evacuated) +
+            ",out:" + std::to_string(counts.out_of_service) +
             ",silent:" + std::to_string(counts.silent) +
             ",ejected:" + std::to_string(counts.ejected) +
             ",cold:" + std::to_string(counts.cold) +
--- a/knapweedroad/routing/load_balancer.cc
+++ b/knapweedroad/routing/load_balancer.cc
@@ -81,8 +81,8 @@
   return entry->second;
 }
 
-void LoadBalancer::SetEvacuatedZones(const std::vector<ZoneId>& zones) {
-  this->evacuated_zones = {zones.begin(), zones.end()};
+void LoadBalancer::SetZonesOutOfService(const std::vector<ZoneId>& zones) {
+  this->zones_out_of_service = {zones.begin(), zones.end()};
 }
 
 BalancedTarget* LoadBalancer::Lookup(const TargetId& id) {
@@ -176,7 +176,7 @@
       phase == TargetPhase::kSilent &&
       now - target.last_success < kSilentGracePeriod;
   return (phase == TargetPhase::kServing || is_in_grace_period) &&
-         !this->evacuated_zones.contains(target.record.zone) &&
+         !this->zones_out_of_service.contains(target.record.zone) &&
          IsAllowedVersion(target);
 }
 
@@ -404,8 +404,8 @@
     const TargetPhase phase = target.record.phase;
     if (phase == TargetPhase::kLeaving || phase == TargetPhase::kGone) {
       ++counts.leaving;
-    } else if (this->evacuated_zones.contains(target.record.zone)) {
-      ++counts.evacuated;
+    } else if (this->zones_out_of_service.contains(target.record.zone)) {
+      ++counts.out_of_service;
     } else if (!this->IsUsable(target, now)) {
       ++counts.silent;
     } else if (target.is_ejected) {
--- a/knapweedroad/routing/load_balancer.h
+++ b/knapweedroad/routing/load_balancer.h
@@ -113,8 +113,8 @@
   // Sets the routing table in force, which has the connection limit, cold rate
   // and health path of each service.
   void SetRouting(std::shared_ptr<const RouteTable> next);
-  // Replaces the list of evacuated zones, whose targets get no requests.
-  void SetEvacuatedZones(const std::vector<ZoneId>& zones);
+  // Replaces the list of zones out of service, whose targets get no requests.
+  void SetZonesOutOfService(const std::vector<ZoneId>& zones);
   // Replaces the version splits of services that have a roll-out. For every
   // other service only one version is used, that of its earliest targets, until
   // none of them is left.
@@ -298,7 +298,7 @@
   std::unordered_map<TargetId, BalancedTarget> targets;
   std::unordered_map<ServiceId, BalancedService> services;
   std::shared_ptr<const RouteTable> routing;
-  std::set<ZoneId> evacuated_zones;
+  std::set<ZoneId> zones_out_of_service;
   std::unordered_map<ServiceId, VersionSplit> version_splits;
   OutlierLists outliers;
   ConnectionShare connection_share;
--- a/knapweedroad/routing/load_balancer_outcomes.cc
+++ b/knapweedroad/routing/load_balancer_outcomes.cc
@@ -293,10 +293,11 @@
 std::vector<DueProbe> LoadBalancer::DueProbes(TimePoint now) {
   std::vector<DueProbe> due;
   for (auto& [id, target] : this->targets) {
-    const bool is_wanted = (target.is_ejected || target.needs_probe) &&
-                           target.record.phase != TargetPhase::kGone &&
-                           target.record.phase != TargetPhase::kLeaving &&
-                           !this->evacuated_zones.contains(target.record.zone);
+    const bool is_wanted =
+        (target.is_ejected || target.needs_probe) &&
+        target.record.phase != TargetPhase::kGone &&
+        target.record.phase != TargetPhase::kLeaving &&
+        !this->zones_out_of_service.contains(target.record.zone);
     const RoutedService* const service =
         this->routing == nullptr
             ? nullptr
--- a/knapweedroad/routing/load_balancer_test.cc
+++ b/knapweedroad/routing/load_balancer_test.cc
@@ -106,12 +106,12 @@
             TargetId("far"));
 }
 
-Test(load_balancer, a_leaving_or_evacuated_target_gets_no_requests) {
+Test(load_balancer, a_leaving_or_out_of_service_target_gets_no_requests) {
   LoadBalancer balancer = MakeBalancer(0, 1, 100);
   balancer.UpdateTarget(Record("t", "a"), kStart);
-  balancer.SetEvacuatedZones({ZoneId("a")});
+  balancer.SetZonesOutOfService({ZoneId("a")});
   cr_expect(!balancer.Pick(kService, {}, kStart));
-  balancer.SetEvacuatedZones({});
+  balancer.SetZonesOutOfService({});
   cr_expect(balancer.Pick(kService, {}, kStart).has_value());
   TargetRecord leaving = Record("t", "a");
   leaving.sequence = 2;
--- a/knapweedroad/routing/target_counts.h
+++ b/knapweedroad/routing/target_counts.h
@@ -12,8 +12,8 @@
 struct TargetCounts {
   // Draining, signed off, or replaced by another target at its address.
   size_t leaving = 0;
-  // In an evacuated zone.
-  size_t evacuated = 0;
+  // In a zone that is out of service.
+  size_t out_of_service = 0;
   // Without heartbeats and without a recent answer to this host, or of a
   // version that may not be used.
   size_t silent = 0;
