--- a/operators/be_centre.cc
+++ b/operators/be_centre.cc
@@ -24,7 +24,7 @@
 Generation FirstGeneration(ServiceCount count, Name name) {
   const auto services = NumberedServices(count, SearchService(name));
   return {.number = GenerationNumber(1),
-          .units = EqualShares(services, Units(10))};
+          .units = EqualUnits(services, Units(10))};
 }
 
 Tenant WithUrgentClass(Name name, Weight weight) {
@@ -36,8 +36,9 @@
 Front Redactie() {
   return Front(SearchFrontOptions{
       .name = "redactie",
-      .deadlines = Deadlines({.standard = 400ms, .maximum = 2s}),
-      .policy = TailPolicy{.target = 120ms, .minimum_coverage = Share(0.8)},
+      .deadlines = Deadlines({.default_deadline = 400ms, .max_deadline = 2s}),
+      .policy = TailPolicy{.latency_target = 120ms,
+                           .minimum_coverage = Fraction(0.8)},
       .tenants = {WithUrgentClass("editors", Weight(3)),
                   WithUrgentClass("radio", Weight(5))},
       .generations = {FirstGeneration(ServiceCount(10), "redactie")}});
@@ -46,8 +47,9 @@
 Front Abonnee() {
   return Front(SearchFrontOptions{
       .name = "abonnee",
-      .deadlines = Deadlines({.standard = 600ms, .maximum = 2s}),
-      .policy = TailPolicy{.target = 200ms, .minimum_coverage = Share(0.6)},
+      .deadlines = Deadlines({.default_deadline = 600ms, .max_deadline = 2s}),
+      .policy = TailPolicy{.latency_target = 200ms,
+                           .minimum_coverage = Fraction(0.6)},
       .tenants = {Tenant{.name = "libraries", .weight = Weight(2)},
                   Tenant{.name = "schools", .weight = Weight(2)},
                   Tenant{.name = "subscribers", .weight = Weight(3)}},
@@ -57,7 +59,7 @@
 Front Citaat() {
   return Front(RecordsFrontOptions{
       .name = "citaat",
-      .deadlines = Deadlines({.standard = 200ms, .maximum = 1s}),
+      .deadlines = Deadlines({.default_deadline = 200ms, .max_deadline = 1s}),
       .tenants = {Tenant{.name = "editors", .weight = Weight(3)},
                   Tenant{.name = "subscribers", .weight = Weight(2)}},
       .service = Service{.name = "citaat",
@@ -69,7 +71,7 @@
 Front Ledenhuis() {
   return Front(RecordsFrontOptions{
       .name = "ledenhuis",
-      .deadlines = Deadlines({.standard = 200ms, .maximum = 1s}),
+      .deadlines = Deadlines({.default_deadline = 200ms, .max_deadline = 1s}),
       .tenants = {Tenant{.name = "libraries", .weight = Weight(2)},
                   Tenant{.name = "schools", .weight = Weight(2)}},
       .service = Service{.name = "ledenhuis",
--- a/operators/capacity.h
+++ b/operators/capacity.h
@@ -11,7 +11,7 @@
 
 namespace knapweedroad::operators {
 
-inline constexpr ColdSlots kOneColdSlot(1);
+inline constexpr ColdSlots kDefaultColdSlots(1);
 
 struct CapacityOptions {
   // Requests at once.
@@ -19,7 +19,7 @@
   // Connections at once, from all hosts together.
   Connections connections;
   // Requests at once in a cold start.
-  ColdSlots cold_slots = kOneColdSlot;
+  ColdSlots cold_slots = kDefaultColdSlots;
 };
 
 class Capacity {
--- a/operators/deadlines.h
+++ b/operators/deadlines.h
@@ -1,6 +1,6 @@
 // How long callers of a front wait.
 //
-//   Deadlines({.standard = 400ms, .maximum = 2s})
+//   Deadlines({.default_deadline = 400ms, .max_deadline = 2s})
 //
 // A standard over the maximum doesn't compile.
 
@@ -13,21 +13,25 @@
 
 struct DeadlineOptions {
   // Of a caller that names none.
-  PositiveDuration standard;
+  PositiveDuration default_deadline;
   // The longest that a caller may name.
-  PositiveDuration maximum;
+  PositiveDuration max_deadline;
 };
 
 class Deadlines {
  public:
   explicit consteval Deadlines(DeadlineOptions options) : options(options) {
-    if (options.standard.value() > options.maximum.value()) {
+    if (options.default_deadline.value() > options.max_deadline.value()) {
       throw "the standard deadline is at most the maximum";
     }
   }
 
-  constexpr Duration standard() const { return this->options.standard.value(); }
-  constexpr Duration maximum() const { return this->options.maximum.value(); }
+  constexpr Duration default_deadline() const {
+    return this->options.default_deadline.value();
+  }
+  constexpr Duration max_deadline() const {
+    return this->options.max_deadline.value();
+  }
 
  private:
   DeadlineOptions options;
--- a/operators/deployment.cc
+++ b/operators/deployment.cc
@@ -11,13 +11,15 @@
 namespace knapweedroad::operators {
 namespace {
 
-using Faults = std::vector<ConfigError>;
+using ConfigErrors = std::vector<ConfigError>;
 
 constexpr const char* kFileName = "(printed)";
 
 // A fault that the printed text can't show, as a map keeps one of two alike.
-void AddTwice(Faults& faults, std::string path, const std::string& name) {
-  faults.push_back({.file = kFileName,
+void AddDuplicateError(ConfigErrors& errors,
+                       std::string path,
+                       const std::string& name) {
+  errors.push_back({.file = kFileName,
                     .path = std::move(path),
                     .message = "'" + name + "' stands twice",
                     .remedy = "keep one of them"});
@@ -25,13 +27,14 @@
 
 TenantConfig ToConfig(const Tenant& tenant,
                       const std::string& path,
-                      Faults& faults) {
+                      ConfigErrors& errors) {
   TenantConfig config{.name = TenantId(tenant.name.str()),
                       .weight = tenant.weight.value()};
   for (const ClassWeight& weight : tenant.classes) {
     const std::string name = weight.name.str();
     if (!config.class_weights.emplace(name, weight.weight.value()).second) {
-      AddTwice(faults, path + "." + config.name.str() + ".class_weights", name);
+      AddDuplicateError(
+          errors, path + "." + config.name.str() + ".class_weights", name);
     }
   }
   return config;
@@ -48,14 +51,15 @@
 
 GenerationConfig ToConfig(const Generation& generation,
                           const std::string& path,
-                          Faults& faults) {
+                          ConfigErrors& errors) {
   GenerationConfig config{.number = generation.number.value()};
-  for (const ServiceUnits& share : generation.units) {
-    const ServiceId service(share.service.name.str());
-    if (!config.units.emplace(service, share.units.value()).second) {
-      AddTwice(faults,
-               path + ".generation " + std::to_string(config.number) + ".units",
-               service.str());
+  for (const ServiceUnits& service_units : generation.units) {
+    const ServiceId service(service_units.service.name.str());
+    if (!config.units.emplace(service, service_units.units.value()).second) {
+      AddDuplicateError(
+          errors,
+          path + ".generation " + std::to_string(config.number) + ".units",
+          service.str());
     }
   }
   return config;
@@ -63,7 +67,7 @@
 
 void SetPolicy(FrontConfig& config, const TailPolicy& policy) {
   config.policy = AnswerPolicy::kTail;
-  config.tail_target = policy.target.value();
+  config.tail_target = policy.latency_target.value();
   config.minimum_coverage = policy.minimum_coverage.value();
 }
 
@@ -74,17 +78,17 @@
 
 // What both kinds have.
 template <typename Options>
-FrontConfig CommonParts(const Options& options,
-                        const std::string& path,
-                        Faults& faults) {
+FrontConfig ToCommonConfig(const Options& options,
+                           const std::string& path,
+                           ConfigErrors& errors) {
   FrontConfig config{.name = FrontId(options.name.str())};
-  config.default_deadline = options.deadlines.standard();
-  config.max_deadline = options.deadlines.maximum();
-  config.hedge_quantile = options.extra_work.hedge_quantile.value();
-  config.hedge_budget = options.extra_work.hedge_budget.value();
-  config.retry_budget = options.extra_work.retry_budget.value();
+  config.default_deadline = options.deadlines.default_deadline();
+  config.max_deadline = options.deadlines.max_deadline();
+  config.hedge_quantile = options.extra_attempt_limits.hedge_quantile.value();
+  config.hedge_budget = options.extra_attempt_limits.hedge_budget.value();
+  config.retry_budget = options.extra_attempt_limits.retry_budget.value();
   for (const Tenant& tenant : options.tenants) {
-    config.tenants.push_back(ToConfig(tenant, path, faults));
+    config.tenants.push_back(ToConfig(tenant, path, errors));
   }
   return config;
 }
@@ -98,37 +102,38 @@
   }
 }
 
-FrontConfig ToConfig(const SearchFrontOptions& options, Faults& faults) {
+FrontConfig ToConfig(const SearchFrontOptions& options, ConfigErrors& errors) {
   const std::string path = "front " + options.name.str();
-  FrontConfig config = CommonParts(options, path, faults);
+  FrontConfig config = ToCommonConfig(options, path, errors);
   config.kind = FrontKind::kSearch;
   std::visit([&config](const auto& policy) { SetPolicy(config, policy); },
              options.policy);
   for (const Generation& generation : options.generations) {
-    config.generations.push_back(ToConfig(generation, path, faults));
-    for (const ServiceUnits& share : generation.units) {
-      AddService(config, share.service);
+    config.generations.push_back(ToConfig(generation, path, errors));
+    for (const ServiceUnits& service_units : generation.units) {
+      AddService(config, service_units.service);
     }
   }
   return config;
 }
 
-FrontConfig ToConfig(const RecordsFrontOptions& options, Faults& faults) {
+FrontConfig ToConfig(const RecordsFrontOptions& options, ConfigErrors& errors) {
   FrontConfig config =
-      CommonParts(options, "front " + options.name.str(), faults);
+      ToCommonConfig(options, "front " + options.name.str(), errors);
   config.kind = FrontKind::kRecords;
   AddService(config, options.service);
   return config;
 }
 
-DeploymentConfig ToConfig(const Deployment& deployment, Faults& faults) {
+DeploymentConfig ToConfig(const Deployment& deployment, ConfigErrors& errors) {
   DeploymentConfig config{.name = deployment.name.str()};
   for (const Zone& zone : deployment.zones) {
-    config.zones.push_back({.name = ZoneId(zone.name.str()), .out = zone.out});
+    config.zones.push_back(
+        {.name = ZoneId(zone.name.str()), .out = zone.out_of_service});
   }
   for (const Front& front : deployment.fronts) {
     config.fronts.push_back(std::visit(
-        [&faults](const auto& options) { return ToConfig(options, faults); },
+        [&errors](const auto& options) { return ToConfig(options, errors); },
         front.value()));
   }
   return config;
@@ -138,14 +143,14 @@
 
 tl::expected<std::string, std::vector<ConfigError>> ToConfiguration(
     const Deployment& deployment) {
-  Faults faults;
-  std::string text = PrintDeployment(ToConfig(deployment, faults));
+  ConfigErrors errors;
+  std::string text = PrintDeployment(ToConfig(deployment, errors));
   const auto read = ParseDeployment(text, kFileName);
   if (!read) {
-    faults.insert(faults.end(), read.error().begin(), read.error().end());
+    errors.insert(errors.end(), read.error().begin(), read.error().end());
   }
-  if (!faults.empty()) {
-    return tl::unexpected(std::move(faults));
+  if (!errors.empty()) {
+    return tl::unexpected(std::move(errors));
   }
   return text;
 }
--- a/operators/deployment.h
+++ b/operators/deployment.h
@@ -24,7 +24,7 @@
 
 struct Zone {
   Name name;
-  bool out = false;
+  bool out_of_service = false;
 };
 
 struct Deployment {
--- a/operators/deployment_test.cc
+++ b/operators/deployment_test.cc
@@ -35,8 +35,8 @@
 concept AcceptsPercent = requires {
   typename std::bool_constant<(Type(kPercent / 100.0), true)>;
 };
-static_assert(AcceptsPercent<100, Share> && !AcceptsPercent<101, Share>);
-static_assert(AcceptsPercent<0, Share> && !AcceptsPercent<-1, Share>);
+static_assert(AcceptsPercent<100, Fraction> && !AcceptsPercent<101, Fraction>);
+static_assert(AcceptsPercent<0, Fraction> && !AcceptsPercent<-1, Fraction>);
 static_assert(AcceptsPercent<99, Quantile> && !AcceptsPercent<100, Quantile>);
 static_assert(!AcceptsPercent<0, Quantile>);
 
@@ -48,34 +48,37 @@
 static_assert(IsPositive<1> && !IsPositive<0> && !IsPositive<-1>);
 
 template <uint32_t kSlots, uint32_t kConnections, uint32_t kColdSlots>
-concept HasCapacity = requires {
+concept IsValidCapacity = requires {
   typename std::bool_constant<(
       Capacity({.slots = Slots(kSlots),
                 .connections = Connections(kConnections),
                 .cold_slots = ColdSlots(kColdSlots)}),
       true)>;
 };
-static_assert(HasCapacity<2, 2, 2>);
-static_assert(!HasCapacity<3, 2, 1>);
-static_assert(!HasCapacity<2, 2, 3>);
+static_assert(IsValidCapacity<2, 2, 2>);
+static_assert(!IsValidCapacity<3, 2, 1>);
+static_assert(!IsValidCapacity<2, 2, 3>);
 
-template <int64_t kStandard, int64_t kMaximum>
-concept HasDeadlines = requires {
+template <int64_t kDefaultDeadline, int64_t kMaxDeadline>
+concept AreValidDeadlines = requires {
   typename std::bool_constant<(
-      Deadlines({.standard = std::chrono::milliseconds(kStandard),
-                 .maximum = std::chrono::milliseconds(kMaximum)}),
+      Deadlines(
+          {.default_deadline = std::chrono::milliseconds(kDefaultDeadline),
+           .max_deadline = std::chrono::milliseconds(kMaxDeadline)}),
       true)>;
 };
-static_assert(HasDeadlines<2, 2> && !HasDeadlines<3, 2>);
+static_assert(AreValidDeadlines<2, 2> && !AreValidDeadlines<3, 2>);
 
 template <typename Options>
-concept NeedsNoName = requires {
+concept IsDefaultInitializable = requires {
   Options{};
 };
-static_assert(!NeedsNoName<SearchFrontOptions>);
-static_assert(!NeedsNoName<RecordsFrontOptions>);
-static_assert(!NeedsNoName<Service> && !NeedsNoName<Generation>);
-static_assert(!NeedsNoName<Tenant> && !NeedsNoName<Deployment>);
+static_assert(!IsDefaultInitializable<SearchFrontOptions>);
+static_assert(!IsDefaultInitializable<RecordsFrontOptions>);
+static_assert(!IsDefaultInitializable<Service> &&
+              !IsDefaultInitializable<Generation>);
+static_assert(!IsDefaultInitializable<Tenant> &&
+              !IsDefaultInitializable<Deployment>);
 
 template <typename Options>
 concept HasGenerations = requires(Options options) {
@@ -92,14 +95,15 @@
 }
 
 SearchFrontOptions AnyFront(const OneOrMore<Generation>& generations) {
-  return {.name = "redactie",
-          .deadlines = Deadlines({.standard = 400ms, .maximum = 2s}),
-          .policy = CoveragePolicy{},
-          .tenants = {Tenant{.name = "editors"}},
-          .generations = generations};
+  return {
+      .name = "redactie",
+      .deadlines = Deadlines({.default_deadline = 400ms, .max_deadline = 2s}),
+      .policy = CoveragePolicy{},
+      .tenants = {Tenant{.name = "editors"}},
+      .generations = generations};
 }
 
-Deployment With(SearchFrontOptions front) {
+Deployment DeploymentWith(SearchFrontOptions front) {
   return {.name = "d",
           .zones = {Zone{.name = "leuven"}},
           .fronts = {Front(std::move(front))}};
@@ -107,7 +111,7 @@
 
 Generation AnyGeneration(const OneOrMore<Service>& services) {
   return {.number = GenerationNumber(1),
-          .units = EqualShares(services, Units(10))};
+          .units = EqualUnits(services, Units(10))};
 }
 
 // The only fault of the deployment.
@@ -118,7 +122,7 @@
   return text.error()[0].ToString();
 }
 
-std::vector<std::string> LinesOf(const Deployment& deployment) {
+std::vector<std::string> PrintedLines(const Deployment& deployment) {
   std::istringstream text(ToConfiguration(deployment).value());
   std::vector<std::string> lines;
   for (std::string line; std::getline(text, line);) {
@@ -127,9 +131,10 @@
   return lines;
 }
 
-Test(Deployment, PrintsWhatTheReaderTakes) {
+Test(Deployment, PrintedConfigurationParses) {
   const auto services = NumberedServices(ServiceCount(3), AnyService("s"));
-  const auto text = ToConfiguration(With(AnyFront({AnyGeneration(services)})));
+  const auto text =
+      ToConfiguration(DeploymentWith(AnyFront({AnyGeneration(services)})));
   cr_assert(text.has_value());
   const auto read = ParseDeployment(*text, "f");
   cr_assert(read.has_value());
@@ -139,54 +144,54 @@
   cr_expect(front.generations.at(0).units.at(ServiceId("s-3")) == 10);
 }
 
-Test(Deployment, WritesAServiceOfTwoGenerationsOnce) {
+Test(Deployment, PrintsAServiceOfTwoGenerationsOnce) {
   Generation second = AnyGeneration({AnyService("a"), AnyService("b")});
   second.number = GenerationNumber(2);
   const auto text = ToConfiguration(
-      With(AnyFront({AnyGeneration({AnyService("a")}), second})));
+      DeploymentWith(AnyFront({AnyGeneration({AnyService("a")}), second})));
   cr_assert(text.has_value());
   const auto read = ParseDeployment(*text, "f");
   cr_assert(read->fronts.at(0).services.size() == 2);
 }
 
-Test(Deployment, RefusesTwoServicesThatDifferUnderOneName) {
+Test(Deployment, RejectsDifferentServicesWithTheSameName) {
   Service other = AnyService("a");
   other.searchers = Searchers(4);
   Generation second = AnyGeneration({other});
   second.number = GenerationNumber(2);
-  const std::string error =
-      OnlyError(With(AnyFront({AnyGeneration({AnyService("a")}), second})));
+  const std::string error = OnlyError(
+      DeploymentWith(AnyFront({AnyGeneration({AnyService("a")}), second})));
   cr_assert(error.find("the service 'a' stands twice") != std::string::npos);
 }
 
 // A map keeps one of two entries of the same name: without a check of its own
 // the other's units would be missing from the coverage's denominator unseen.
-Test(Deployment, RefusesAServiceTwiceInOneGeneration) {
+Test(Deployment, RejectsADuplicateServiceInAGeneration) {
   const auto units = AnyGeneration({AnyService("a"), AnyService("a")});
-  const std::string error = OnlyError(With(AnyFront({units})));
+  const std::string error = OnlyError(DeploymentWith(AnyFront({units})));
   cr_assert(error.find("'a' stands twice") != std::string::npos);
 }
 
-Test(Deployment, RefusesAClassTwiceInOneTenant) {
+Test(Deployment, RejectsADuplicateClassInATenant) {
   const ClassWeight weight{.name = "urgent", .weight = Weight(4)};
   SearchFrontOptions front = AnyFront({AnyGeneration({AnyService("a")})});
   front.tenants = {Tenant{.name = "editors", .classes = {weight, weight}}};
-  const std::string error = OnlyError(With(front));
+  const std::string error = OnlyError(DeploymentWith(front));
   cr_assert(error.find("'urgent' stands twice") != std::string::npos);
 }
 
-Test(Deployment, ReportsWhatTheTypesLetThrough) {
+Test(Deployment, RejectsATailTargetOverTheMaxDeadline) {
   SearchFrontOptions front = AnyFront({AnyGeneration({AnyService("a")})});
-  front.policy = TailPolicy{.target = 3s};
-  const std::string error = OnlyError(With(front));
+  front.policy = TailPolicy{.latency_target = 3s};
+  const std::string error = OnlyError(DeploymentWith(front));
   cr_assert(error.find("3s is over max_deadline, 2s") != std::string::npos);
 }
 
-Test(Deployment, AChangeOfOneValueChangesOneLine) {
+Test(Deployment, ChangingOneValueChangesOneLine) {
   SearchFrontOptions front = AnyFront({AnyGeneration({AnyService("a")})});
-  const auto before = LinesOf(With(front));
-  front.extra_work.hedge_budget = Share(0.06);
-  const auto after = LinesOf(With(front));
+  const auto before = PrintedLines(DeploymentWith(front));
+  front.extra_attempt_limits.hedge_budget = Fraction(0.06);
+  const auto after = PrintedLines(DeploymentWith(front));
   cr_assert(before.size() == after.size());
   size_t changed = 0;
   for (size_t i = 0; i < before.size(); ++i) {
--- /dev/null
+++ b/operators/fraction.h
@@ -0,0 +1,26 @@
+// A part of a whole, from 0 to 1.
+//
+//   Fraction(0.05)   // Fraction(5) doesn't compile
+
+#ifndef OPERATORS_FRACTION_H_
+#define OPERATORS_FRACTION_H_
+
+namespace knapweedroad::operators {
+
+class Fraction {
+ public:
+  explicit consteval Fraction(double fraction) : fraction(fraction) {
+    if (!(fraction >= 0.0 && fraction <= 1.0)) {
+      throw "a share is from 0 to 1";
+    }
+  }
+
+  constexpr double value() const { return this->fraction; }
+
+ private:
+  double fraction;
+};
+
+}  // namespace knapweedroad::operators
+
+#endif  // OPERATORS_FRACTION_H_
--- a/operators/front.h
+++ b/operators/front.h
@@ -2,10 +2,10 @@
 //
 //   Front(SearchFrontOptions{
 //       .name = "redactie",
-//       .deadlines = Deadlines({.standard = 400ms, .maximum = 2s}),
-//       .policy = TailPolicy{.target = 120ms, .minimum_coverage = Share(0.8)},
-//       .tenants = {Tenant{.name = "editors"}},
-//       .generations = {Generation{...}}})
+//       .deadlines = Deadlines({.default_deadline = 400ms, .max_deadline =
+//       2s}), .policy = TailPolicy{.latency_target = 120ms, .minimum_coverage =
+//       Fraction(0.8)}, .tenants = {Tenant{.name = "editors"}}, .generations =
+//       {Generation{...}}})
 //
 // Each kind has just the options that mean something for it.
 
@@ -16,42 +16,42 @@
 #include <variant>
 
 #include "operators/deadlines.h"
+#include "operators/fraction.h"
 #include "operators/generation.h"
 #include "operators/name.h"
 #include "operators/one_or_more.h"
 #include "operators/positive_duration.h"
 #include "operators/quantile.h"
 #include "operators/service.h"
-#include "operators/share.h"
 #include "operators/tenant.h"
 
 namespace knapweedroad::operators {
 
-inline constexpr Share kNoShare(0.0);
-inline constexpr Quantile kHedgeQuantile(0.95);
-inline constexpr Share kHedgeBudget(0.05);
-inline constexpr Share kRetryBudget(0.1);
+inline constexpr Fraction kNoMinimumCoverage(0.0);
+inline constexpr Quantile kDefaultHedgeQuantile(0.95);
+inline constexpr Fraction kDefaultHedgeBudget(0.05);
+inline constexpr Fraction kDefaultRetryBudget(0.1);
 
 // Answers as soon as the target time is over, with the coverage it has.
 struct TailPolicy {
-  PositiveDuration target;
+  PositiveDuration latency_target;
   // Below this an answer is a refusal.
-  Share minimum_coverage = kNoShare;
+  Fraction minimum_coverage = kNoMinimumCoverage;
 };
 
 // Waits for coverage until the deadline.
 struct CoveragePolicy {
-  Share minimum_coverage = kNoShare;
+  Fraction minimum_coverage = kNoMinimumCoverage;
 };
 
 // The extra work that a front may put on its targets.
-struct ExtraWork {
+struct ExtraAttemptLimits {
   // A sub-request that takes longer than this quantile of its service's own
   // latencies is hedged.
-  Quantile hedge_quantile = kHedgeQuantile;
+  Quantile hedge_quantile = kDefaultHedgeQuantile;
   // Shares of first tries.
-  Share hedge_budget = kHedgeBudget;
-  Share retry_budget = kRetryBudget;
+  Fraction hedge_budget = kDefaultHedgeBudget;
+  Fraction retry_budget = kDefaultRetryBudget;
 };
 
 // Scatters a query over all its services.
@@ -59,7 +59,7 @@
   Name name;
   Deadlines deadlines;
   std::variant<TailPolicy, CoveragePolicy> policy;
-  ExtraWork extra_work = {};
+  ExtraAttemptLimits extra_attempt_limits = {};
   OneOrMore<Tenant> tenants;
   OneOrMore<Generation> generations;
 };
@@ -68,7 +68,7 @@
 struct RecordsFrontOptions {
   Name name;
   Deadlines deadlines;
-  ExtraWork extra_work = {};
+  ExtraAttemptLimits extra_attempt_limits = {};
   OneOrMore<Tenant> tenants;
   Service service;
 };
--- a/operators/generation.cc
+++ b/operators/generation.cc
@@ -2,12 +2,12 @@
 
 namespace knapweedroad::operators {
 
-OneOrMore<ServiceUnits> EqualShares(const OneOrMore<Service>& services,
-                                    Units each) {
+OneOrMore<ServiceUnits> EqualUnits(const OneOrMore<Service>& services,
+                                   Units units_per_service) {
   auto service = services.begin();
-  OneOrMore<ServiceUnits> units(ServiceUnits{*service, each});
+  OneOrMore<ServiceUnits> units(ServiceUnits{*service, units_per_service});
   for (++service; service != services.end(); ++service) {
-    units.Add(ServiceUnits{*service, each});
+    units.Add(ServiceUnits{*service, units_per_service});
   }
   return units;
 }
--- a/operators/generation.h
+++ b/operators/generation.h
@@ -1,7 +1,7 @@
 // A partition generation: which service holds how much of the index.
 //
 //   Generation{.number = GenerationNumber(1),
-//              .units = EqualShares(services, Units(10))}
+//              .units = EqualUnits(services, Units(10))}
 //
 // It holds the services themselves. A front has just the services of its
 // generations, so that none can be in no generation, and no generation can
@@ -27,8 +27,8 @@
 };
 
 // The same number of units for each service.
-OneOrMore<ServiceUnits> EqualShares(const OneOrMore<Service>& services,
-                                    Units each);
+OneOrMore<ServiceUnits> EqualUnits(const OneOrMore<Service>& services,
+                                   Units units_per_service);
 
 }  // namespace knapweedroad::operators
 
--- a/operators/positive_duration.h
+++ b/operators/positive_duration.h
@@ -1,6 +1,7 @@
 // A duration above zero.
 //
-//   TailPolicy{.target = 120ms}   // 0ms, or a plain 120, doesn't compile
+//   TailPolicy{.latency_target = 120ms}   // 0ms, or a plain 120, doesn't
+//   compile
 
 #ifndef OPERATORS_POSITIVE_DURATION_H_
 #define OPERATORS_POSITIVE_DURATION_H_
--- a/operators/se_vast.cc
+++ b/operators/se_vast.cc
@@ -22,14 +22,14 @@
                                       .capacity = kSearcher,
                                       .connect_cost = 6ms});
   return {.number = GenerationNumber(1),
-          .units = EqualShares(services, Units(10))};
+          .units = EqualUnits(services, Units(10))};
 }
 
 Front Dagslage() {
   return Front(SearchFrontOptions{
       .name = "dagslage",
-      .deadlines = Deadlines({.standard = 1s, .maximum = 3s}),
-      .policy = CoveragePolicy{.minimum_coverage = Share(0.9)},
+      .deadlines = Deadlines({.default_deadline = 1s, .max_deadline = 3s}),
+      .policy = CoveragePolicy{.minimum_coverage = Fraction(0.9)},
       .tenants = {Tenant{.name = "dashboards",
                          .weight = Weight(3),
                          .classes = {ClassWeight{.name = "storm",
@@ -41,8 +41,8 @@
 Front Rapportin() {
   return Front(SearchFrontOptions{
       .name = "rapportin",
-      .deadlines = Deadlines({.standard = 2s, .maximum = 5s}),
-      .policy = CoveragePolicy{.minimum_coverage = Share(0.9)},
+      .deadlines = Deadlines({.default_deadline = 2s, .max_deadline = 5s}),
+      .policy = CoveragePolicy{.minimum_coverage = Fraction(0.9)},
       .tenants = {Tenant{.name = "analysts", .weight = Weight(2)},
                   Tenant{.name = "municipalities", .weight = Weight(3)}},
       .generations = {FirstGeneration(ServiceCount(15), "rapportin")}});
@@ -51,7 +51,7 @@
 Front Gastreg() {
   return Front(RecordsFrontOptions{
       .name = "gastreg",
-      .deadlines = Deadlines({.standard = 200ms, .maximum = 1s}),
+      .deadlines = Deadlines({.default_deadline = 200ms, .max_deadline = 1s}),
       .tenants = {Tenant{.name = "inspectors", .weight = Weight(3)},
                   Tenant{.name = "letters"}},
       .service = Service{.name = "gastreg",
@@ -63,7 +63,7 @@
 Front Publicera() {
   return Front(RecordsFrontOptions{
       .name = "publicera",
-      .deadlines = Deadlines({.standard = 200ms, .maximum = 1s}),
+      .deadlines = Deadlines({.default_deadline = 200ms, .max_deadline = 1s}),
       .tenants = {Tenant{.name = "press"},
                   Tenant{.name = "public", .weight = Weight(2)}},
       .service = Service{.name = "publicera",
--- a/operators/service.cc
+++ b/operators/service.cc
@@ -10,10 +10,11 @@
 
 }  // namespace
 
-OneOrMore<Service> NumberedServices(ServiceCount count, const Service& like) {
-  OneOrMore<Service> services(WithNumber(like, 1));
+OneOrMore<Service> NumberedServices(ServiceCount count,
+                                    const Service& prototype) {
+  OneOrMore<Service> services(WithNumber(prototype, 1));
   for (uint32_t number = 2; number <= count.value(); ++number) {
-    services.Add(WithNumber(like, number));
+    services.Add(WithNumber(prototype, number));
   }
   return services;
 }
--- a/operators/service.h
+++ b/operators/service.h
@@ -29,7 +29,8 @@
 };
 
 // Services alike but for their names: "NAME-1" to "NAME-COUNT".
-OneOrMore<Service> NumberedServices(ServiceCount count, const Service& like);
+OneOrMore<Service> NumberedServices(ServiceCount count,
+                                    const Service& prototype);
 
 }  // namespace knapweedroad::operators
 
--- a/operators/tenant.h
+++ b/operators/tenant.h
@@ -14,7 +14,7 @@
 
 namespace knapweedroad::operators {
 
-inline constexpr Weight kWeightOne(1);
+inline constexpr Weight kDefaultWeight(1);
 
 // A class that a tenant doesn't name has weight 1.
 struct ClassWeight {
@@ -24,7 +24,7 @@
 
 struct Tenant {
   Name name;
-  Weight weight = kWeightOne;
+  Weight weight = kDefaultWeight;
   std::vector<ClassWeight> classes = {};
 };
 
