--- a/operators/be_centre.cc
+++ b/operators/be_centre.cc
@@ -1,4 +1,5 @@
-// Coopérative Tussentaal's deployment, be-centre: prints its configuration.
+// Prints the configuration of be-centre, the deployment of Coopérative
+// Tussentaal.
 
 #include <chrono>
 
--- a/operators/capacity.h
+++ b/operators/capacity.h
@@ -1,8 +1,9 @@
-// What one searcher bears.
+// The number of requests and connections that one searcher can handle at once.
 //
 //   Capacity({.slots = Slots(2), .connections = Connections(25)})
 //
-// More slots than connections, or more cold slots than slots, don't compile.
+// A capacity with more slots than connections, or with more cold slots than
+// slots, doesn't compile.
 
 #ifndef OPERATORS_CAPACITY_H_
 #define OPERATORS_CAPACITY_H_
@@ -14,11 +15,11 @@
 inline constexpr ColdSlots kDefaultColdSlots(1);
 
 struct CapacityOptions {
-  // Requests at once.
+  // Concurrent requests.
   Slots slots;
-  // Connections at once, from all hosts together.
+  // Concurrent connections, summed over all hosts.
   Connections connections;
-  // Requests at once in a cold start.
+  // Concurrent requests during a cold start.
   ColdSlots cold_slots = kDefaultColdSlots;
 };
 
@@ -26,10 +27,10 @@
  public:
   explicit consteval Capacity(CapacityOptions options) : options(options) {
     if (options.slots.value() > options.connections.value()) {
-      throw "each slot needs a connection";
+      throw "a searcher needs at least as many connections as slots";
     }
     if (options.cold_slots.value() > options.slots.value()) {
-      throw "a searcher in a cold start has no more slots than a warm one";
+      throw "cold_slots must not exceed slots";
     }
   }
 
--- a/operators/count.h
+++ b/operators/count.h
@@ -1,4 +1,5 @@
-// Counts that can't be 0 and can't be mixed up.
+// Positive integer counts. Each kind is a type of its own, so that one can't be
+// passed where another is expected.
 //
 //   Slots(2), Connections(25)   // Slots(0) doesn't compile
 
@@ -9,13 +10,13 @@
 
 namespace knapweedroad::operators {
 
-// `Tag` only tells the kinds apart.
+// A compile-time constant of at least 1. `Tag` distinguishes the kinds.
 template <typename Tag>
 class Count {
  public:
   explicit consteval Count(uint32_t number) : number(number) {
     if (number == 0) {
-      throw "a count is at least 1";
+      throw "a count must be at least 1";
     }
   }
 
@@ -25,12 +26,12 @@
   uint32_t number;
 };
 
-using Searchers = Count<struct SearchersTag>;      // of one service
-using Slots = Count<struct SlotsTag>;              // of one searcher
-using ColdSlots = Count<struct ColdSlotsTag>;      // of one in a cold start
-using Connections = Count<struct ConnectionsTag>;  // of one searcher
-using Weight = Count<struct WeightTag>;            // of a tenant or class
-using Units = Count<struct UnitsTag>;              // equal parts of an index
+using Searchers = Count<struct SearchersTag>;  // per service
+using Slots = Count<struct SlotsTag>;          // per searcher
+using ColdSlots = Count<struct ColdSlotsTag>;  // per searcher in a cold start
+using Connections = Count<struct ConnectionsTag>;  // per searcher
+using Weight = Count<struct WeightTag>;            // of a tenant or a class
+using Units = Count<struct UnitsTag>;  // equal-sized parts of an index
 using GenerationNumber = Count<struct GenerationNumberTag>;
 using ServiceCount = Count<struct ServiceCountTag>;
 
--- a/operators/deadlines.h
+++ b/operators/deadlines.h
@@ -1,8 +1,8 @@
-// How long callers of a front wait.
+// The deadlines of a front's requests.
 //
 //   Deadlines({.default_deadline = 400ms, .max_deadline = 2s})
 //
-// A standard over the maximum doesn't compile.
+// A default deadline over the maximum doesn't compile.
 
 #ifndef OPERATORS_DEADLINES_H_
 #define OPERATORS_DEADLINES_H_
@@ -12,9 +12,9 @@
 namespace knapweedroad::operators {
 
 struct DeadlineOptions {
-  // Of a caller that names none.
+  // Applies to a request that carries no deadline.
   PositiveDuration default_deadline;
-  // The longest that a caller may name.
+  // The longest deadline that a caller may request.
   PositiveDuration max_deadline;
 };
 
@@ -22,7 +22,7 @@
  public:
   explicit consteval Deadlines(DeadlineOptions options) : options(options) {
     if (options.default_deadline.value() > options.max_deadline.value()) {
-      throw "the standard deadline is at most the maximum";
+      throw "default_deadline must not exceed max_deadline";
     }
   }
 
--- a/operators/deployment.cc
+++ b/operators/deployment.cc
@@ -15,13 +15,14 @@
 
 constexpr const char* kFileName = "(printed)";
 
-// A fault that the printed text can't show, as a map keeps one of two alike.
+// Records a duplicate that the printed text can't show, because a map keeps
+// only one of two entries with the same key.
 void AddDuplicateError(ConfigErrors& errors,
                        std::string path,
                        const std::string& name) {
   errors.push_back({.file = kFileName,
                     .path = std::move(path),
-                    .message = "'" + name + "' stands twice",
+                    .message = "'" + name + "' is listed twice",
                     .remedy = "keep one of them"});
 }
 
@@ -76,7 +77,7 @@
   config.minimum_coverage = policy.minimum_coverage.value();
 }
 
-// What both kinds have.
+// Converts the options that both kinds of front have.
 template <typename Options>
 FrontConfig ToCommonConfig(const Options& options,
                            const std::string& path,
@@ -93,8 +94,8 @@
   return config;
 }
 
-// Adds a service that an earlier generation hasn't brought along already. Two
-// that differ under one name are both added, and found when the text is read.
+// Adds a service unless an earlier generation added the same one. Two different
+// services with the same name are both added; ParseDeployment() reports them.
 void AddService(FrontConfig& front, const Service& service) {
   const ServiceConfig config = ToConfig(service);
   if (std::ranges::find(front.services, config) == front.services.end()) {
--- a/operators/deployment.h
+++ b/operators/deployment.h
@@ -1,4 +1,4 @@
-// A whole deployment, and the text that is handed to `apply`.
+// A deployment, and its configuration as text for the `apply` command.
 //
 //   int main() {
 //     return PrintConfiguration(Deployment{
@@ -22,8 +22,10 @@
 
 namespace knapweedroad::operators {
 
+// An availability zone.
 struct Zone {
   Name name;
+  // The targets of a zone that is out of service get no new requests.
   bool out_of_service = false;
 };
 
@@ -33,15 +35,17 @@
   OneOrMore<Front> fronts;
 };
 
-// The configuration as JSON, always in the same layout, or every fault of it
-// that the types let through: names that stand twice, a tail target or a
-// connect cost over a deadline. Line and column are those of the text that
-// would have been printed.
+// Returns the configuration as JSON, always in the same layout, or all errors
+// that the types can't rule out: duplicate names, or a latency target or
+// connect cost that exceeds a deadline. The line and column of an error refer
+// to the text that would have been printed; a duplicate that the text
+// can't show is reported at 1:1.
 tl::expected<std::string, std::vector<ConfigError>> ToConfiguration(
     const Deployment& deployment);
 
-// Writes the configuration to standard output, or its faults to standard error.
-// Returns the exit code of the program: 0, or 1 with faults.
+// Writes the configuration to standard output, or its errors to standard error.
+// Returns the program's exit code: 0, or 1 if the configuration has errors or
+// standard output can't be written.
 int PrintConfiguration(const Deployment& deployment);
 
 }  // namespace knapweedroad::operators
--- a/operators/deployment_test.cc
+++ b/operators/deployment_test.cc
@@ -16,8 +16,9 @@
 
 using namespace std::chrono_literals;
 
-// What doesn't compile: an expression of a consteval constructor that throws is
-// no constant, and an aggregate without a required field can't be made.
+// Checks what doesn't compile: a consteval constructor call that throws isn't a
+// constant expression, and an aggregate can't be initialized without its
+// required fields.
 
 template <auto kValue, typename Type>
 concept Accepts = requires {
@@ -114,7 +115,7 @@
           .units = EqualUnits(services, Units(10))};
 }
 
-// The only fault of the deployment.
+// Returns the deployment's error and requires that there is only one.
 std::string OnlyError(const Deployment& deployment) {
   const auto text = ToConfiguration(deployment);
   cr_assert(!text.has_value());
@@ -164,12 +165,13 @@
   cr_assert(error.find("the service 'a' stands twice") != std::string::npos);
 }
 
-// A map keeps one of two entries of the same name: without a check of its own
-// the other's units would be missing from the coverage's denominator unseen.
+// A map keeps only one of two entries with the same name. Without an explicit
+// check, the units of the other would silently be missing from the denominator
+// of the coverage.
 Test(Deployment, RejectsADuplicateServiceInAGeneration) {
   const auto units = AnyGeneration({AnyService("a"), AnyService("a")});
   const std::string error = OnlyError(DeploymentWith(AnyFront({units})));
-  cr_assert(error.find("'a' stands twice") != std::string::npos);
+  cr_assert(error.find("'a' is listed twice") != std::string::npos);
 }
 
 Test(Deployment, RejectsADuplicateClassInATenant) {
@@ -177,10 +179,10 @@
   SearchFrontOptions front = AnyFront({AnyGeneration({AnyService("a")})});
   front.tenants = {Tenant{.name = "editors", .classes = {weight, weight}}};
   const std::string error = OnlyError(DeploymentWith(front));
-  cr_assert(error.find("'urgent' stands twice") != std::string::npos);
+  cr_assert(error.find("'urgent' is listed twice") != std::string::npos);
 }
 
-Test(Deployment, RejectsATailTargetOverTheMaxDeadline) {
+Test(Deployment, RejectsALatencyTargetOverTheMaxDeadline) {
   SearchFrontOptions front = AnyFront({AnyGeneration({AnyService("a")})});
   front.policy = TailPolicy{.latency_target = 3s};
   const std::string error = OnlyError(DeploymentWith(front));
--- a/operators/fraction.h
+++ b/operators/fraction.h
@@ -1,4 +1,4 @@
-// A part of a whole, from 0 to 1.
+// A fraction from 0 to 1, both included.
 //
 //   Fraction(0.05)   // Fraction(5) doesn't compile
 
@@ -11,7 +11,7 @@
  public:
   explicit consteval Fraction(double fraction) : fraction(fraction) {
     if (!(fraction >= 0.0 && fraction <= 1.0)) {
-      throw "a share is from 0 to 1";
+      throw "a fraction must be from 0 to 1";
     }
   }
 
--- a/operators/front.h
+++ b/operators/front.h
@@ -1,13 +1,16 @@
-// A front, of one of two kinds.
+// A front: an entry point for callers, which either searches all its services
+// or reads records from its one service.
 //
 //   Front(SearchFrontOptions{
 //       .name = "redactie",
-//       .deadlines = Deadlines({.default_deadline = 400ms, .max_deadline =
-//       2s}), .policy = TailPolicy{.latency_target = 120ms, .minimum_coverage =
-//       Fraction(0.8)}, .tenants = {Tenant{.name = "editors"}}, .generations =
-//       {Generation{...}}})
+//       .deadlines = Deadlines({.default_deadline = 400ms,
+//                               .max_deadline = 2s}),
+//       .policy = TailPolicy{.latency_target = 120ms,
+//                            .minimum_coverage = Fraction(0.8)},
+//       .tenants = {Tenant{.name = "editors"}},
+//       .generations = {Generation{...}}})
 //
-// Each kind has just the options that mean something for it.
+// Each kind has only the options that apply to it.
 
 #ifndef OPERATORS_FRONT_H_
 #define OPERATORS_FRONT_H_
@@ -32,29 +35,31 @@
 inline constexpr Fraction kDefaultHedgeBudget(0.05);
 inline constexpr Fraction kDefaultRetryBudget(0.1);
 
-// Answers as soon as the target time is over, with the coverage it has.
+// Answers once the latency target has passed and the coverage has reached the
+// minimum, without waiting for the rest. Below the minimum it waits on, at most
+// until the deadline.
 struct TailPolicy {
   PositiveDuration latency_target;
-  // Below this an answer is a refusal.
+  // A request that can't reach this coverage by its deadline is refused.
   Fraction minimum_coverage = kNoMinimumCoverage;
 };
 
-// Waits for coverage until the deadline.
+// Waits for full coverage, at most until the deadline.
 struct CoveragePolicy {
   Fraction minimum_coverage = kNoMinimumCoverage;
 };
 
-// The extra work that a front may put on its targets.
+// Limits on the hedges and retries that a front sends to its targets.
 struct ExtraAttemptLimits {
   // A sub-request that takes longer than this quantile of its service's own
   // latencies is hedged.
   Quantile hedge_quantile = kDefaultHedgeQuantile;
-  // Shares of first tries.
+  // Maximum hedges and retries, as fractions of the first attempts.
   Fraction hedge_budget = kDefaultHedgeBudget;
   Fraction retry_budget = kDefaultRetryBudget;
 };
 
-// Scatters a query over all its services.
+// Options of a front that sends each query to all its services.
 struct SearchFrontOptions {
   Name name;
   Deadlines deadlines;
@@ -64,7 +69,8 @@
   OneOrMore<Generation> generations;
 };
 
-// Asks one searcher of its one service for one record.
+// Options of a front that reads one record per request, from one searcher of
+// its only service.
 struct RecordsFrontOptions {
   Name name;
   Deadlines deadlines;
--- a/operators/generation.h
+++ b/operators/generation.h
@@ -1,11 +1,11 @@
-// A partition generation: which service holds how much of the index.
+// A partition generation: the units of the index that each service holds.
 //
 //   Generation{.number = GenerationNumber(1),
 //              .units = EqualUnits(services, Units(10))}
 //
-// It holds the services themselves. A front has just the services of its
-// generations, so that none can be in no generation, and no generation can
-// name one that isn't there.
+// A generation contains its services by value. A search front has exactly the
+// services of its generations, so every service belongs to a generation and no
+// generation can refer to a missing service.
 
 #ifndef OPERATORS_GENERATION_H_
 #define OPERATORS_GENERATION_H_
@@ -26,7 +26,7 @@
   OneOrMore<ServiceUnits> units;
 };
 
-// The same number of units for each service.
+// Returns an entry with `units_per_service` units for each service.
 OneOrMore<ServiceUnits> EqualUnits(const OneOrMore<Service>& services,
                                    Units units_per_service);
 
--- a/operators/name.h
+++ b/operators/name.h
@@ -1,4 +1,5 @@
-// A name that is known to be one when the program is compiled.
+// A name in a configuration, checked at compile time: 1 to 64 characters of
+// a-z, 0-9, '.', '-' and '_'.
 //
 //   Service{.name = "redactie-1", ...}   // "Redactie 1" doesn't compile
 
@@ -14,15 +15,16 @@
 
 class Name {
  public:
-  // Implicit, so that a literal can stand for a name.
+  // Implicit, so that a string literal can be used as a name.
   // NOLINTNEXTLINE(google-explicit-constructor)
   consteval Name(const char* text) : text(text) {
     if (!IsName(text)) {
-      throw "a name has 1 to 64 of a-z, 0-9, '.', '-' and '_'";
+      throw "a name must have 1 to 64 characters of a-z, 0-9, '.', '-' and '_'";
     }
   }
 
-  // "NAME-NUMBER".
+  // Returns a copy whose text is "NAME-NUMBER". `number` is at least 1; 0 adds
+  // no suffix.
   Name WithNumber(uint32_t number) const {
     Name numbered = *this;
     numbered.number = number;
@@ -36,9 +38,9 @@
   }
 
  private:
-  // A literal.
+  // A string literal, so it needs no owner.
   const char* text;
-  // 0 for none.
+  // 0 if the name has no numeric suffix.
   uint32_t number = 0;
 };
 
--- a/operators/one_or_more.h
+++ b/operators/one_or_more.h
@@ -1,4 +1,4 @@
-// A list that can't be empty.
+// A list with at least one item; an empty one doesn't compile.
 //
 //   .zones = {Zone{.name = "leuven"}, Zone{.name = "mechelen"}}
 
@@ -14,7 +14,7 @@
 template <typename Item>
 class OneOrMore {
  public:
-  // Implicit, so that a list in braces can stand for one.
+  // Implicit, so that a braced list can be used as one.
   template <std::convertible_to<Item>... Rest>
   // NOLINTNEXTLINE(google-explicit-constructor)
   OneOrMore(Item first, Rest... rest)
--- a/operators/positive_duration.h
+++ b/operators/positive_duration.h
@@ -1,7 +1,8 @@
-// A duration above zero.
+// A compile-time duration greater than zero.
 //
-//   TailPolicy{.latency_target = 120ms}   // 0ms, or a plain 120, doesn't
-//   compile
+//   TailPolicy{.latency_target = 120ms}
+//
+// 0ms and a plain 120 don't compile.
 
 #ifndef OPERATORS_POSITIVE_DURATION_H_
 #define OPERATORS_POSITIVE_DURATION_H_
@@ -14,13 +15,13 @@
 
 class PositiveDuration {
  public:
-  // Implicit, so that a literal with its unit can stand for one.
+  // Implicit, so that a literal with a unit can be used as one.
   template <typename Number, typename Unit>
   // NOLINTNEXTLINE(google-explicit-constructor)
   consteval PositiveDuration(std::chrono::duration<Number, Unit> duration)
       : duration(duration) {
     if (duration <= duration.zero()) {
-      throw "the duration is above 0";
+      throw "a duration must be greater than 0";
     }
   }
 
--- a/operators/quantile.h
+++ b/operators/quantile.h
@@ -1,6 +1,6 @@
-// A quantile of latencies, between 0 and 1.
+// A quantile of latencies, greater than 0 and less than 1.
 //
-//   Quantile(0.95)   // Quantile(1) doesn't compile: nothing takes longer
+//   Quantile(0.95)   // Quantile(1) doesn't compile: no latency exceeds it
 
 #ifndef OPERATORS_QUANTILE_H_
 #define OPERATORS_QUANTILE_H_
@@ -11,7 +11,7 @@
  public:
   explicit consteval Quantile(double quantile) : quantile(quantile) {
     if (!(quantile > 0.0 && quantile < 1.0)) {
-      throw "a quantile is between 0 and 1";
+      throw "a quantile must be greater than 0 and less than 1";
     }
   }
 
--- a/operators/se_vast.cc
+++ b/operators/se_vast.cc
@@ -1,5 +1,5 @@
-// Vänersborg Kommunala Statistikverk's deployment, se-vast: prints its
-// configuration.
+// Prints the configuration of se-vast, the deployment of Vänersborg Kommunala
+// Statistikverk.
 
 #include <chrono>
 
--- a/operators/service.h
+++ b/operators/service.h
@@ -1,4 +1,4 @@
-// A service: one shard's searchers.
+// A service: the searchers of one shard.
 //
 //   constexpr Capacity kSearcher(
 //       {.slots = Slots(2), .connections = Connections(25)});
@@ -21,14 +21,15 @@
 
 struct Service {
   Name name;
-  // Expected to announce themselves.
+  // The number of searchers that are expected to announce themselves.
   Searchers searchers;
   Capacity capacity;
-  // What opening a connection costs.
+  // The time that opening a connection takes.
   Duration connect_cost{};
 };
 
-// Services alike but for their names: "NAME-1" to "NAME-COUNT".
+// Returns `count` copies of `prototype`, named "NAME-1" to "NAME-COUNT" after
+// the prototype's name.
 OneOrMore<Service> NumberedServices(ServiceCount count,
                                     const Service& prototype);
 
--- a/operators/tenant.h
+++ b/operators/tenant.h
@@ -1,4 +1,5 @@
-// A tenant of a front and its share under overload.
+// A tenant (client account) of a front, with its weight among the tenants under
+// overload.
 //
 //   Tenant{.name = "radio",
 //          .weight = Weight(5),
@@ -16,7 +17,8 @@
 
 inline constexpr Weight kDefaultWeight(1);
 
-// A class that a tenant doesn't name has weight 1.
+// The weight of a request class among the classes of its tenant. A class that
+// isn't listed has weight 1.
 struct ClassWeight {
   Name name;
   Weight weight;
