--- a/bench/capacity/query_world.h
+++ b/bench/capacity/query_world.h
@@ -32,7 +32,7 @@
         this->targets[service].push_back(
             {.target = TargetId(service.str() + "-" + std::to_string(replica)),
              .zone = ZoneId("zone-" + std::to_string(replica)),
-             .holds = {kSnapshot}});
+             .snapshots = {kSnapshot}});
       }
     }
     this->front.generations = {generation};
--- a/bench/capacity/sample.cc
+++ b/bench/capacity/sample.cc
@@ -87,7 +87,7 @@
           .incarnation = kIncarnation,
           .sequence = 1,
           .state = TargetState::kReady,
-          .holds = {{1, 16}, {1, 17}},
+          .snapshots = {{1, 16}, {1, 17}},
           .in_flight = 1};
 }
 
--- a/bench/query/experiment.cc
+++ b/bench/query/experiment.cc
@@ -100,7 +100,7 @@
             {.target = id,
              .zone = name,
              .state = TargetState::kReady,
-             .holds = {{.generation = 1, .index_version = 1}}});
+             .snapshots = {{.generation = 1, .index_version = 1}}});
       }
     }
   }
--- a/bench/query/query_cost_bench.cc
+++ b/bench/query/query_cost_bench.cc
@@ -39,7 +39,7 @@
             {.target = TargetId(service.str() + "-" + number),
              .zone = ZoneId("vast-" + number),
              .state = TargetState::kReady,
-             .holds = {{1, 4}, {1, 5}}});
+             .snapshots = {{1, 4}, {1, 5}}});
       }
     }
     this->front.generations = {generation};
--- a/knapweedroad/host/host.cc
+++ b/knapweedroad/host/host.cc
@@ -264,15 +264,15 @@
     const HttpRequest& http) {
   if (http.path == "/metrics") {
     const DecisionCounts counts = this->targets.Decisions();
-    this->metrics.SetDecisions("attempt_started", counts.attempts_started);
-    this->metrics.SetDecisions("shed_by_target", counts.sheds);
-    this->metrics.SetDecisions("connection_lost", counts.lost_connections);
-    this->metrics.SetDecisions("fell_to_cold", counts.falls_to_cold);
-    this->metrics.SetDecisions("lease_changed", counts.lease_changes);
+    this->metrics.SetDecisionCount("attempt_started", counts.attempts_started);
+    this->metrics.SetDecisionCount("shed_by_target", counts.sheds);
+    this->metrics.SetDecisionCount("connection_lost", counts.lost_connections);
+    this->metrics.SetDecisionCount("fell_to_cold", counts.falls_to_cold);
+    this->metrics.SetDecisionCount("lease_changed", counts.lease_changes);
     for (size_t kind = 0; kind < kRefusalKinds; ++kind) {
       const auto word = ToString(static_cast<RefusalKind>(kind));
-      this->metrics.SetDecisions("refused_" + std::string(word),
-                                 counts.refused[kind]);
+      this->metrics.SetDecisionCount("refused_" + std::string(word),
+                                     counts.refused[kind]);
     }
     this->metrics.SetGauge(
         "targets_held",
--- a/knapweedroad/host/platform_api.cc
+++ b/knapweedroad/host/platform_api.cc
@@ -19,7 +19,7 @@
   if (request.path == "/metrics") {
     return HttpResponse{
         .headers = {{"Content-Type", "text/plain; version=0.0.4"}},
-        .body = metrics.Text()};
+        .body = metrics.PrometheusText()};
   }
   return std::nullopt;
 }
--- a/knapweedroad/host/report_json.cc
+++ b/knapweedroad/host/report_json.cc
@@ -65,7 +65,7 @@
       reader.Fail("holds", "a list of snapshots such as \"1.5\"");
       return;
     }
-    report.holds.push_back(*snapshot);
+    report.snapshots.push_back(*snapshot);
   }
 }
 
--- a/knapweedroad/membership/target_directory.cc
+++ b/knapweedroad/membership/target_directory.cc
@@ -111,7 +111,7 @@
     candidates.push_back({.target = target,
                           .zone = report.zone,
                           .state = report.state,
-                          .holds = report.holds,
+                          .snapshots = report.snapshots,
                           .in_flight = report.in_flight,
                           .queued = report.queued,
                           .usable = !out_of_service &&
--- a/knapweedroad/metrics/host_metrics.cc
+++ b/knapweedroad/metrics/host_metrics.cc
@@ -13,15 +13,15 @@
 namespace knapweedroad {
 namespace {
 
-const prometheus::Histogram::BucketBoundaries kLatencySeconds = {
+const prometheus::Histogram::BucketBoundaries kLatencyBucketBoundsSeconds = {
     0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.015, 0.02, 0.03, 0.04, 0.05,
     0.075, 0.092, 0.125, 0.175, 0.25,   0.4,  0.6,   1.0,  2.0,  5.0};
-const prometheus::Histogram::BucketBoundaries kCoverageShares = {
+const prometheus::Histogram::BucketBoundaries kCoverageBucketBounds = {
     0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.9999, 1.0};
 
 }  // namespace
 
-struct HostMetrics::State {
+struct HostMetrics::Collectors {
   prometheus::Registry registry;
   prometheus::Family<prometheus::Histogram>& latency =
       prometheus::BuildHistogram()
@@ -55,63 +55,65 @@
           .Register(this->registry);
 };
 
-HostMetrics::HostMetrics() : state(std::make_unique<State>()) {}
+HostMetrics::HostMetrics() : collectors(std::make_unique<Collectors>()) {}
 HostMetrics::~HostMetrics() = default;
 
 void HostMetrics::ObserveRequest(const FrontId& front,
                                  const TenantId& tenant,
                                  std::string_view request_class,
                                  int status,
-                                 Duration took) {
+                                 Duration latency) {
   const prometheus::Labels labels = {{"front", front.str()},
                                      {"tenant", tenant.str()},
                                      {"class", std::string(request_class)}};
   prometheus::Labels with_status = labels;
   with_status["status"] = std::to_string(status);
-  this->state->requests.Add(with_status).Increment();
-  this->state->latency.Add(labels, kLatencySeconds)
-      .Observe(std::chrono::duration<double>(took).count());
+  this->collectors->requests.Add(with_status).Increment();
+  this->collectors->latency.Add(labels, kLatencyBucketBoundsSeconds)
+      .Observe(std::chrono::duration<double>(latency).count());
 }
 
 void HostMetrics::ObserveCoverage(const FrontId& front,
                                   const TenantId& tenant,
                                   double coverage) {
-  this->state->coverage
-      .Add({{"front", front.str()}, {"tenant", tenant.str()}}, kCoverageShares)
+  this->collectors->coverage
+      .Add({{"front", front.str()}, {"tenant", tenant.str()}},
+           kCoverageBucketBounds)
       .Observe(coverage);
 }
 
 void HostMetrics::CountAttempts(const FrontId& front,
                                 const QueryRunStats& stats) {
-  const auto count = [&](const char* purpose, double times) {
-    if (times > 0) {
-      this->state->attempts.Add({{"front", front.str()}, {"purpose", purpose}})
-          .Increment(times);
+  const auto add_attempts = [&](const char* purpose, double attempts) {
+    if (attempts > 0) {
+      this->collectors->attempts
+          .Add({{"front", front.str()}, {"purpose", purpose}})
+          .Increment(attempts);
     }
   };
-  count("first", stats.first_attempts);
-  count("hedge", stats.hedges);
-  count("retry", stats.retries);
-  count("restart", stats.restarts);
-  count("wrong_snapshot", stats.wrong_snapshots);
+  add_attempts("first", stats.first_attempts);
+  add_attempts("hedge", stats.hedges);
+  add_attempts("retry", stats.retries);
+  add_attempts("restart", stats.restarts);
+  add_attempts("wrong_snapshot", stats.wrong_snapshots);
 }
 
-void HostMetrics::SetDecisions(std::string_view kind, uint64_t times) {
+void HostMetrics::SetDecisionCount(std::string_view kind, uint64_t count) {
   prometheus::Counter& counter =
-      this->state->decisions.Add({{"kind", std::string(kind)}});
-  const double more = static_cast<double>(times) - counter.Value();
-  if (more > 0) {
-    counter.Increment(more);
+      this->collectors->decisions.Add({{"kind", std::string(kind)}});
+  const double increase = static_cast<double>(count) - counter.Value();
+  if (increase > 0) {
+    counter.Increment(increase);
   }
 }
 
 void HostMetrics::SetGauge(std::string_view name, double value) {
-  this->state->gauges.Add({{"name", std::string(name)}}).Set(value);
+  this->collectors->gauges.Add({{"name", std::string(name)}}).Set(value);
 }
 
-std::string HostMetrics::Text() const {
+std::string HostMetrics::PrometheusText() const {
   return prometheus::TextSerializer().Serialize(
-      this->state->registry.Collect());
+      this->collectors->registry.Collect());
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/metrics/host_metrics.h
+++ b/knapweedroad/metrics/host_metrics.h
@@ -1,8 +1,8 @@
 // What one host measures, for Prometheus.
 //
 //   HostMetrics metrics;
-//   metrics.ObserveRequest(front, tenant, "normal", 200, took);
-//   std::string text = metrics.Text();
+//   metrics.ObserveRequest(front, tenant, "normal", 200, latency);
+//   std::string text = metrics.PrometheusText();
 //
 // Latency histograms by front, tenant and class; a counter for each kind of
 // decision.
@@ -31,7 +31,7 @@
                       const TenantId& tenant,
                       std::string_view request_class,
                       int status,
-                      Duration took);
+                      Duration latency);
   // From 0 to 1.
   void ObserveCoverage(const FrontId& front,
                        const TenantId& tenant,
@@ -40,16 +40,16 @@
   void CountAttempts(const FrontId& front, const QueryRunStats& stats);
   // How many decisions of a kind, such as "lease_changed" or
   // "refused_overloaded", there have been since the start; never falls.
-  void SetDecisions(std::string_view kind, uint64_t times);
+  void SetDecisionCount(std::string_view kind, uint64_t count);
   // A value that goes up and down, such as "targets_held".
   void SetGauge(std::string_view name, double value);
 
   // The Prometheus text format.
-  std::string Text() const;
+  std::string PrometheusText() const;
 
  private:
-  struct State;
-  std::unique_ptr<State> state;
+  struct Collectors;
+  std::unique_ptr<Collectors> collectors;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/query/query_components_test.cc
+++ b/knapweedroad/query/query_components_test.cc
@@ -105,10 +105,10 @@
 
   std::vector<TargetCandidate> targets{{.target = TargetId("far"),
                                         .zone = ZoneId("there"),
-                                        .holds = {kOldSnapshot}},
+                                        .snapshots = {kOldSnapshot}},
                                        {.target = TargetId("near"),
                                         .zone = ZoneId("here"),
-                                        .holds = {kOldSnapshot}}};
+                                        .snapshots = {kOldSnapshot}}};
   std::mt19937_64 random{1};
 };
 
@@ -126,7 +126,7 @@
   ReplicaChoiceFixture fixture;
   fixture.targets.push_back({.target = TargetId("busy"),
                              .zone = ZoneId("here"),
-                             .holds = {kOldSnapshot}});
+                             .snapshots = {kOldSnapshot}});
   fixture.targets[2].in_flight = 2;
   std::map<TargetId, int> chosen;
   for (int i = 0; i < 300; ++i) {
@@ -172,8 +172,8 @@
 
 Test(SnapshotChoice, PrefersACompleteOlderSnapshotToAPartialNewerOne) {
   QueryTestFixture fixture;
-  fixture.Target("s1", 0).holds = {kOldSnapshot, kNewSnapshot};
-  fixture.Target("s1", 1).holds = {kOldSnapshot, kNewSnapshot};
+  fixture.Target("s1", 0).snapshots = {kOldSnapshot, kNewSnapshot};
+  fixture.Target("s1", 1).snapshots = {kOldSnapshot, kNewSnapshot};
   const auto choice = ChooseSnapshot(fixture.front, fixture.targets, {});
   cr_assert_eq(choice->snapshot, kOldSnapshot);
   const auto newest = ChooseSnapshot(fixture.front, fixture.targets,
@@ -187,12 +187,12 @@
   QueryTestFixture fixture;
   for (const char* service : {"s1", "s2"}) {
     fixture.AddTarget(service, "c", "elsewhere");
-    fixture.Target(service, 0).holds = {kOldSnapshot, kNewSnapshot};
+    fixture.Target(service, 0).snapshots = {kOldSnapshot, kNewSnapshot};
   }
   cr_assert_eq(ChooseSnapshot(fixture.front, fixture.targets, {})->snapshot,
                kOldSnapshot);
   for (const char* service : {"s1", "s2"}) {
-    fixture.Target(service, 1).holds = {kOldSnapshot, kNewSnapshot};
+    fixture.Target(service, 1).snapshots = {kOldSnapshot, kNewSnapshot};
   }
   cr_assert_eq(ChooseSnapshot(fixture.front, fixture.targets, {})->snapshot,
                kNewSnapshot);
@@ -202,7 +202,7 @@
   QueryTestFixture fixture;
   for (auto& [service, candidates] : fixture.targets) {
     for (TargetCandidate& candidate : candidates) {
-      candidate.holds.push_back({.generation = 9, .index_version = 1});
+      candidate.snapshots.push_back({.generation = 9, .index_version = 1});
     }
   }
   cr_assert_eq(ChooseSnapshot(fixture.front, fixture.targets, {})->snapshot,
--- a/knapweedroad/query/query_history_test.cc
+++ b/knapweedroad/query/query_history_test.cc
@@ -98,10 +98,10 @@
       for (TargetCandidate& target : candidates) {
         switch (this->Draw(60)) {
           case 0:
-            target.holds = {kOldSnapshot, kNewSnapshot};
+            target.snapshots = {kOldSnapshot, kNewSnapshot};
             break;
           case 1:
-            target.holds = {kNewSnapshot};
+            target.snapshots = {kNewSnapshot};
             break;
           case 2:
             target.usable = !target.usable;
--- a/knapweedroad/query/query_snapshot_test.cc
+++ b/knapweedroad/query/query_snapshot_test.cc
@@ -15,7 +15,7 @@
 void RollOut(QueryTestFixture& fixture) {
   for (auto& [service, candidates] : fixture.targets) {
     for (TargetCandidate& candidate : candidates) {
-      candidate.holds = {kNewSnapshot};
+      candidate.snapshots = {kNewSnapshot};
     }
   }
 }
@@ -66,7 +66,7 @@
   // The same failure without kNoSnapshot: the only target of s1 that holds the
   // pinned snapshot crashes.
   QueryTestFixture fixture;
-  fixture.Target("s1", 1).holds = {kNewSnapshot};
+  fixture.Target("s1", 1).snapshots = {kNewSnapshot};
   auto run = fixture.MakeRun();
   const auto sends = Sends(run.Start(fixture.At(0)));
   RollOut(fixture);
@@ -124,7 +124,7 @@
   fixture.AddTarget("s3", "s3-a", "here");
   for (auto& [service, candidates] : fixture.targets) {
     for (TargetCandidate& candidate : candidates) {
-      candidate.holds = {split};
+      candidate.snapshots = {split};
     }
   }
   const auto restart =
--- a/knapweedroad/query/query_test_fixture.h
+++ b/knapweedroad/query/query_test_fixture.h
@@ -77,7 +77,7 @@
     this->targets[ServiceId(service)].push_back({.target = TargetId(target),
                                                  .zone = ZoneId(zone),
                                                  .state = TargetState::kReady,
-                                                 .holds = {kOldSnapshot}});
+                                                 .snapshots = {kOldSnapshot}});
   }
 
   TargetCandidate& Target(const char* service, size_t index) {
--- a/knapweedroad/query/replica_choice.cc
+++ b/knapweedroad/query/replica_choice.cc
@@ -88,8 +88,8 @@
   if (!candidate.usable || candidate.state == TargetState::kLeaving) {
     return false;
   }
-  return !snapshot ||
-         std::ranges::find(candidate.holds, *snapshot) != candidate.holds.end();
+  return !snapshot || std::ranges::find(candidate.snapshots, *snapshot) !=
+                          candidate.snapshots.end();
 }
 
 std::optional<TargetCandidate> ChooseReplica(
--- a/knapweedroad/query/snapshot_choice.cc
+++ b/knapweedroad/query/snapshot_choice.cc
@@ -66,7 +66,7 @@
   std::set<SnapshotId, std::greater<>> held;
   for (const auto& [service, targets] : candidates) {
     for (const TargetCandidate& target : targets) {
-      held.insert(target.holds.begin(), target.holds.end());
+      held.insert(target.snapshots.begin(), target.snapshots.end());
     }
   }
   return held;
--- a/knapweedroad/target/target_candidate.h
+++ b/knapweedroad/target/target_candidate.h
@@ -19,7 +19,7 @@
   ZoneId zone;
   TargetState state = TargetState::kReady;
   // Snapshots it said it can answer from.
-  std::vector<SnapshotId> holds;
+  std::vector<SnapshotId> snapshots;
   // Requests that run on it and that wait for it, as far as this host knows.
   // Both lag.
   uint32_t in_flight = 0;
--- a/knapweedroad/target/target_report.h
+++ b/knapweedroad/target/target_report.h
@@ -31,7 +31,7 @@
   uint64_t sequence = 0;
   TargetState state = TargetState::kCold;
   // Snapshots it can answer from, newest last.
-  std::vector<SnapshotId> holds;
+  std::vector<SnapshotId> snapshots;
   // Its own count of requests it runs and of those that wait.
   uint32_t in_flight = 0;
   uint32_t queued = 0;
@@ -40,7 +40,7 @@
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->front, this->service, this->zone, this->address,
-            this->incarnation, this->sequence, this->state, this->holds,
+            this->incarnation, this->sequence, this->state, this->snapshots,
             this->in_flight, this->queued);
   }
 
--- a/knapweedroad/testing/searcher_core.cc
+++ b/knapweedroad/testing/searcher_core.cc
@@ -108,7 +108,7 @@
   report.incarnation = this->settings.incarnation;
   report.sequence = ++this->sequence;
   report.state = this->told_state();
-  report.holds = this->snapshots;
+  report.snapshots = this->snapshots;
   report.in_flight = this->faults.reports_idle ? 0 : this->in_flight();
   return report;
 }
--- a/knapweedroad/testing/searcher_protocol.cc
+++ b/knapweedroad/testing/searcher_protocol.cc
@@ -149,7 +149,7 @@
 
 std::string WriteReport(const TargetReport& report) {
   json holds = json::array();
-  for (const SnapshotId& snapshot : report.holds) {
+  for (const SnapshotId& snapshot : report.snapshots) {
     holds.push_back(snapshot.ToString());
   }
   const json body = {
