--- a/knapweedroad/edge/control_follower.cc
+++ b/knapweedroad/edge/control_follower.cc
@@ -13,9 +13,9 @@
 #include "knapweedroad/net/peer_client.h"
 #include "knapweedroad/net/runtime.h"
 #include "knapweedroad/net/timed_event.h"
+#include "knapweedroad/registry/control_host_selection.h"
 #include "knapweedroad/registry/control_host_table.h"
 #include "knapweedroad/registry/control_hosts_view.h"
-#include "knapweedroad/registry/follow_plan.h"
 #include "knapweedroad/wire/codec.h"
 
 namespace knapweedroad {
@@ -126,17 +126,17 @@
   if (this->options.most_links == 0) {
     return hosts;
   }
-  std::vector<FollowCandidate> candidates;
+  std::vector<ControlHostCandidate> candidates;
   for (const HostId& host : hosts) {
-    FollowCandidate candidate = this->table.Candidate(host, now);
+    ControlHostCandidate candidate = this->table.Candidate(host, now);
     candidate.rank = RankOf(this->options.self, host);
     candidates.push_back(std::move(candidate));
   }
-  return PlanFollowing(
-      candidates,
-      {.zone = this->options.zone,
-       .most = this->options.most_links,
-       .most_without_quorum = this->options.most_links + this->MoreLinks(now)});
+  return SelectControlHosts(
+      candidates, {.zone = this->options.zone,
+                   .max_selected = this->options.most_links,
+                   .max_selected_without_quorum =
+                       this->options.most_links + this->MoreLinks(now)});
 }
 
 void ControlFollower::State::NoteWanted(std::set<HostId> next, TimePoint now) {
@@ -146,11 +146,11 @@
   this->wanted = std::move(next);
   std::string hosts;
   for (const HostId& host : this->wanted) {
-    const FollowCandidate facts = this->table.Candidate(host, now);
+    const ControlHostCandidate facts = this->table.Candidate(host, now);
     hosts += hosts.empty() ? "" : " ";
     hosts += host.str();
     hosts += facts.is_live ? "(live" : "(silent";
-    hosts += facts.hears_all ? ",hears_all)" : ")";
+    hosts += facts.has_full_view ? ",hears_all)" : ")";
   }
   LogLine("control_hosts_followed")
       .Add("hosts", hosts)
@@ -218,7 +218,7 @@
         .Info();
   }
   for (const ControlHostRecord& other : reply->control_hosts) {
-    this->table.OnNamed(other.host, other.zone, now);
+    this->table.OnMentioned(other.host, other.zone, now);
   }
   if (reply->has_quorum) {
     this->quorum_heard = now;
@@ -227,8 +227,8 @@
   call.revision = reply->revision;
   call.hosts_revision = reply->hosts_revision;
   call.outliers_revision = reply->outliers_revision;
-  call.knows_cut_off = reply->is_cut_off;
-  call.knows_hears_all = reply->hears_all;
+  call.received_is_cut_off = reply->is_cut_off;
+  call.received_has_full_view = reply->has_full_view;
   this->options.on_reply(host, *reply);
   this->told_version = std::max(this->told_version, reply->agreed_version);
   if (reply->agreed_version > this->options.held_version()) {
@@ -243,12 +243,12 @@
 void ControlFollower::State::PullFromNearest(PeerClient& peer,
                                              const HostId& host) {
   const bool is_near = this->IsNear(host);
-  const bool has_near = this->table.HasAnswering(this->options.zone);
+  const bool has_near = this->table.HasResponsiveHost(this->options.zone);
   const bool can_wait = this->options.held_version() > 0;
   if (!is_near && has_near && can_wait) {
     Runtime::SleepFor(kNearPull);
   }
-  if (!this->is_stopped && this->table.IsAnswering(host)) {
+  if (!this->is_stopped && this->table.IsResponsive(host)) {
     this->Pull(peer, host);
   }
 }
@@ -379,8 +379,8 @@
 ControlHostsView ControlFollower::View() const {
   const ControlHostTable& table = this->state->table;
   const TimePoint now = Runtime::Now();
-  return {.hears_all = table.HearsAll(now),
-          .lost = table.DescribeLost(now),
+  return {.has_full_view = table.HasFullView(now),
+          .unreachable = table.DescribeUnreachable(now),
           .quorum_age = table.QuorumAge(now)};
 }
 
--- a/knapweedroad/edge/control_host.cc
+++ b/knapweedroad/edge/control_host.cc
@@ -10,7 +10,7 @@
 #include "knapweedroad/edge/control_host_state.h"
 #include "knapweedroad/edge/role_parts.h"
 #include "knapweedroad/net/runtime.h"
-#include "knapweedroad/registry/announce_plan.h"
+#include "knapweedroad/registry/announcement_redirect.h"
 #include "knapweedroad/registry/control_hosts_view.h"
 #include "knapweedroad/registry/outlier_detector.h"
 #include "knapweedroad/rollout/rollout_orders.h"
@@ -59,10 +59,10 @@
 void ControlHost::State::OnNews(const HostId& from, const WatchReply& reply) {
   if (reply.zone != this->options.settings.zone) {
     if (reply.has_outliers) {
-      this->outcomes.detector().LearnOthers(from, reply.outliers.put,
-                                            Runtime::Now());
+      this->outcomes.detector().SetRemoteOutliers(from, reply.outliers.upserted,
+                                                  Runtime::Now());
     } else {
-      this->outcomes.detector().HearOthers(from, Runtime::Now());
+      this->outcomes.detector().RefreshRemoteOutliers(from, Runtime::Now());
     }
   }
   const uint64_t before = this->registry.revision();
@@ -70,7 +70,7 @@
     this->registry.Merge(record, Runtime::Now());
   }
   if (reply.has_hosts) {
-    this->hub->LearnEntryHosts(from, reply.entry_hosts.put);
+    this->hub->LearnEntryHosts(from, reply.entry_hosts.upserted);
   }
   if (this->registry.revision() != before) {
     this->hub->Wake();
@@ -95,7 +95,7 @@
 }
 
 void ControlHost::State::JudgeTargets() {
-  const bool is_changed = this->outcomes.Judge(
+  const bool is_changed = this->outcomes.Evaluate(
       [this](const TargetId& target) {
         const TargetRecord* const record = this->registry.Find(target);
         return record == nullptr || record->phase == TargetPhase::kGone
@@ -230,9 +230,10 @@
                                                 const TargetId& target) const {
   const State& self = *this->state;
   const std::vector<ControlHostRecord> live = self.follower->LiveRecords();
-  const auto host = NearerControlHost(
-      live,
-      {.reached = self.options.settings.zone, .zone = zone, .target = target});
+  const auto host =
+      FindControlHostInZone(live, {.contacted_zone = self.options.settings.zone,
+                                   .zone = zone,
+                                   .target = target});
   if (!host) {
     return std::nullopt;
   }
@@ -245,7 +246,7 @@
                           uint64_t started_ms,
                           uint64_t sequence) {
   State& self = *this->state;
-  self.registry.SignOff(id, started_ms, sequence, Runtime::Now());
+  self.registry.Deregister(id, started_ms, sequence, Runtime::Now());
   LogLine("target_signed_off").Add("target", id).Info();
   self.hub->Wake();
 }
--- a/knapweedroad/edge/control_host_wiring.cc
+++ b/knapweedroad/edge/control_host_wiring.cc
@@ -50,7 +50,7 @@
           .held_version = [this] { return this->agreed.version(); },
           .take_outcomes =
               [this](const HostId& to) {
-                return this->outcomes.TakeFor(to, Runtime::Now());
+                return this->outcomes.TakeUnforwarded(to, Runtime::Now());
               },
           .on_reply =
               [this](const HostId& from, const WatchReply& reply) {
--- a/knapweedroad/edge/entry_host.cc
+++ b/knapweedroad/edge/entry_host.cc
@@ -76,16 +76,18 @@
     this->balancer.reachability().OnControlReport(reply.is_cut_off, now);
   }
   LearnTargets(this->balancer, from, reply, now);
-  if (this->entry_hosts.Update(
-          from,
-          reply.has_hosts ? std::optional(reply.entry_hosts.put) : std::nullopt,
-          now)) {
+  if (this->entry_hosts.Update(from,
+                               reply.has_hosts
+                                   ? std::optional(reply.entry_hosts.upserted)
+                                   : std::nullopt,
+                               now)) {
     this->UseEntryHosts(now);
   }
-  this->balancer.UpdateOutliers(
-      from,
-      reply.has_outliers ? std::optional(reply.outliers.put) : std::nullopt,
-      now);
+  this->balancer.UpdateOutliers(from,
+                                reply.has_outliers
+                                    ? std::optional(reply.outliers.upserted)
+                                    : std::nullopt,
+                                now);
 }
 
 void EntryHost::State::UseEntryHosts(TimePoint now) {
--- a/knapweedroad/edge/watch_hub.cc
+++ b/knapweedroad/edge/watch_hub.cc
@@ -82,8 +82,8 @@
   std::map<HostId, EntryFollower> entry_followers;
   std::map<HostId, OtherEntryHosts> others;
   // As of `hosts_revision`: all, and those that follow this control host.
-  ToldList<EntryHostRecord, HostId> told_entry_hosts;
-  ToldList<EntryHostRecord, HostId> told_own_entry_hosts;
+  VersionedList<EntryHostRecord, HostId> told_entry_hosts;
+  VersionedList<EntryHostRecord, HostId> told_own_entry_hosts;
   std::vector<ControlHostRecord> told_control_hosts;
   TimePoint hosts_told;
   std::unordered_set<std::shared_ptr<TimedEvent>> waiting;
@@ -106,8 +106,9 @@
          (HearsOutliers(call) &&
           call.outliers_revision != this->OutliersRevision(call.role)) ||
          (is_entry && call.shares_outcomes &&
-          call.knows_cut_off != this->options.is_cut_off()) ||
-         (is_entry && call.knows_hears_all != this->options.hears_all()) ||
+          call.received_is_cut_off != this->options.is_cut_off()) ||
+         (is_entry &&
+          call.received_has_full_view != this->options.hears_all()) ||
          call.agreed_version < this->options.agreed_version();
 }
 
@@ -192,10 +193,10 @@
     reply.control_hosts = this->told_control_hosts;
     reply.entry_hosts =
         (is_control ? this->told_own_entry_hosts : this->told_entry_hosts)
-            .Since(is_same ? call.hosts_revision : 0);
+            .DeltaSince(is_same ? call.hosts_revision : 0);
   }
   reply.is_cut_off = this->options.is_cut_off();
-  reply.hears_all = this->options.hears_all();
+  reply.has_full_view = this->options.hears_all();
   reply.has_quorum = this->options.has_quorum();
   const uint64_t outliers_revision = this->OutliersRevision(call.role);
   reply.has_outliers =
@@ -208,7 +209,7 @@
     const OutlierDetector& detector = this->options.detector;
     const uint64_t held = is_same ? call.outliers_revision : 0;
     reply.outliers =
-        is_control ? detector.OwnNewsSince(held) : detector.NewsSince(held);
+        is_control ? detector.OwnDeltaSince(held) : detector.DeltaSince(held);
   }
   return reply;
 }
--- a/knapweedroad/edge/zone_connectivity.cc
+++ b/knapweedroad/edge/zone_connectivity.cc
@@ -17,7 +17,7 @@
   this->has_reached_others |= reaches_others;
   const bool is_cut_off_now = this->has_reached_others && !reaches_others;
   const bool cut_off_before = std::exchange(this->cut_off, is_cut_off_now);
-  const bool hears_all_now = view.hears_all;
+  const bool hears_all_now = view.has_full_view;
   const bool all_heard_before = std::exchange(this->all_heard, hears_all_now);
   if (cut_off_before != is_cut_off_now) {
     LogLine(is_cut_off_now ? "zone_cut_off" : "zone_reached")
@@ -28,7 +28,7 @@
   if (all_heard_before != hears_all_now) {
     LogLine(hears_all_now ? "control_hosts_all_heard" : "control_hosts_missed")
         .Add("control_hosts", live.size())
-        .Add("lost", view.lost)
+        .Add("lost", view.unreachable)
         .Add("quorum_age_ms", QuorumAgeMs(view))
         .Info();
   }
--- a/knapweedroad/edge/zone_connectivity_test.cc
+++ b/knapweedroad/edge/zone_connectivity_test.cc
@@ -38,7 +38,7 @@
 Test(zone_connectivity, missing_a_control_host_is_told) {
   ZoneConnectivity connectivity(ZoneId("a"));
   cr_expect(
-      connectivity.Update(std::vector{kSelf, kOther}, {.hears_all = true}));
+      connectivity.Update(std::vector{kSelf, kOther}, {.has_full_view = true}));
   cr_expect(connectivity.hears_all());
   cr_expect(connectivity.Update(std::vector{kSelf, kOther}, {}));
   cr_expect(not connectivity.hears_all());
--- a/knapweedroad/registry/agreed_state_test.cc
+++ b/knapweedroad/registry/agreed_state_test.cc
@@ -7,7 +7,7 @@
 
 // An operator's resend of an old configuration arrives after a newer one. Put
 // in force it would bring back routes that were dropped.
-Test(agreed_state, a_lower_or_equal_number_changes_nothing) {
+Test(agreed_state, lower_or_equal_number_changes_nothing) {
   AgreedState state;
   PutIfNewer(state, 7, "seven");
   PutIfNewer(state, 5, "five");
@@ -17,7 +17,7 @@
   cr_expect(state.number == 9 && state.text == "nine");
 }
 
-Test(agreed_state, zones_go_out_and_in_once_however_often_it_is_sent) {
+Test(agreed_state, repeated_zone_changes_apply_once) {
   AgreedState state;
   SetZoneOut(state, ZoneId("b"), true);
   SetZoneOut(state, ZoneId("a"), true);
@@ -28,7 +28,7 @@
   cr_expect(state.zones_out == std::vector{ZoneId("a")});
 }
 
-Test(agreed_state, survives_its_encoding_and_refuses_other_bytes) {
+Test(agreed_state, round_trips_and_rejects_other_bytes) {
   const AgreedState state{
       .number = 3, .text = "text", .zones_out = {ZoneId("a")}};
   cr_expect(DecodeAgreedState(EncodeAgreedState(state)) == state);
@@ -37,7 +37,7 @@
 }
 
 // Guards against a roll-out that is forgotten with the loss of all processes.
-Test(agreed_state, roll_outs_survive_its_encoding) {
+Test(agreed_state, rollouts_round_trip) {
   const AgreedState state{.number = 3,
                           .text = "text",
                           .rollouts = {{.service = ServiceId("s"),
@@ -53,7 +53,7 @@
 
 // Guards against control hosts that can't read each other's values while they
 // are upgraded one by one.
-Test(agreed_state, without_roll_outs_it_keeps_its_older_layout) {
+Test(agreed_state, encoding_without_rollouts_keeps_the_older_layout) {
   AgreedState state{.number = 3, .text = "text"};
   const std::string older = EncodeAgreedState(state);
   state.rollouts.push_back({.service = ServiceId("s")});
--- a/knapweedroad/registry/announce_plan.h
+++ b/knapweedroad/registry/announcement_redirect.h
@@ -2,8 +2,8 @@
 //
 //   if (const auto host = NearerControlHost(live, {.zone = own, ...})) ...
 
-#ifndef KNAPWEEDROAD_REGISTRY_ANNOUNCE_PLAN_H_
-#define KNAPWEEDROAD_REGISTRY_ANNOUNCE_PLAN_H_
+#ifndef KNAPWEEDROAD_REGISTRY_ANNOUNCEMENT_REDIRECT_H_
+#define KNAPWEEDROAD_REGISTRY_ANNOUNCEMENT_REDIRECT_H_
 
 #include <optional>
 #include <span>
@@ -13,9 +13,9 @@
 
 namespace knapweedroad {
 
-struct AnnouncePlace {
+struct AnnouncementOrigin {
   // Of the control host that the target has reached.
-  ZoneId reached;
+  ZoneId contacted_zone;
   // Of the target, and its id, by which its zone's hosts share the targets.
   ZoneId zone;
   TargetId target;
@@ -24,9 +24,10 @@
 // A control host of the target's own zone. Nothing where it has reached one
 // already, or none is heard. Announcements come about once a second for ever,
 // and bytes between zones are paid for.
-std::optional<HostId> NearerControlHost(std::span<const ControlHostRecord> live,
-                                        const AnnouncePlace& place);
+std::optional<HostId> FindControlHostInZone(
+    std::span<const ControlHostRecord> live,
+    const AnnouncementOrigin& origin);
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_REGISTRY_ANNOUNCE_PLAN_H_
+#endif  // KNAPWEEDROAD_REGISTRY_ANNOUNCEMENT_REDIRECT_H_
--- a/knapweedroad/registry/control_host_cut_test.cc
+++ b/knapweedroad/registry/control_host_partition_test.cc
@@ -19,7 +19,7 @@
   for (TimePoint now = from; now < to; now += milliseconds(300)) {
     for (const char* const zone : {"a", "b", "c"}) {
       const HostId host(std::string("control-") + zone);
-      table.OnReply(host, {.zone = ZoneId(zone), .hears_all = true}, now);
+      table.OnReply(host, {.zone = ZoneId(zone), .has_full_view = true}, now);
     }
     table.OnQuorum(now);
   }
@@ -35,51 +35,54 @@
 
 // Guards against entry hosts that follow a cut off control host alone, and go
 // by an old configuration until the cut heals.
-Test(control_host_cut, a_host_cut_off_from_all_others_never_hears_all) {
+Test(control_host_partition, isolated_host_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
-  const TimePoint cut = kStart + seconds(10);
-  AnswerAll(table, kStart, cut);
-  cr_expect(table.HearsAll(cut));
+  const TimePoint partition_start = kStart + seconds(10);
+  AnswerAll(table, kStart, partition_start);
+  cr_expect(table.HasFullView(partition_start));
   for (int second = 3; second <= 300; second += 3) {
-    FailAll(table, cut + seconds(second - 3), cut + seconds(second));
-    cr_expect(not table.HearsAll(cut + seconds(second)), "%d s after the cut",
-              second);
+    FailAll(table, partition_start + seconds(second - 3),
+            partition_start + seconds(second));
+    cr_expect(not table.HasFullView(partition_start + seconds(second)),
+              "%d s after the cut", second);
   }
 }
 
 // Guards against the same after a restart inside the cut: the new process has
 // never heard the others.
-Test(control_host_cut, a_host_that_starts_cut_off_never_hears_all) {
+Test(control_host_partition, host_that_starts_isolated_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   for (int second = 1; second <= 60; ++second) {
     FailAll(table, kStart + seconds(second - 1), kStart + seconds(second));
-    cr_expect(not table.HearsAll(kStart + seconds(second)),
+    cr_expect(not table.HasFullView(kStart + seconds(second)),
               "%d s after the start", second);
   }
 }
 
 // Guards against the same in a minority of two that hear each other.
-Test(control_host_cut, a_minority_never_hears_all) {
+Test(control_host_partition, minority_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
-  const TimePoint cut = kStart + seconds(10);
-  AnswerAll(table, kStart, cut);
-  for (TimePoint now = cut; now < cut + seconds(60); now += milliseconds(300)) {
+  const TimePoint partition_start = kStart + seconds(10);
+  AnswerAll(table, kStart, partition_start);
+  for (TimePoint now = partition_start; now < partition_start + seconds(60);
+       now += milliseconds(300)) {
     table.OnReply(HostId("control-a"), {.zone = ZoneId("a")}, now);
     table.OnFailure(HostId("control-b"), now);
     table.OnFailure(HostId("control-c"), now);
   }
-  cr_expect(not table.HearsAll(cut + seconds(60)));
+  cr_expect(not table.HasFullView(partition_start + seconds(60)));
 }
 
 // Guards against hosts that never follow one control host alone again after a
 // cut has healed.
-Test(control_host_cut, all_are_heard_again_after_the_cut) {
+Test(control_host_partition, full_view_returns_after_the_partition) {
   ControlHostTable table({.self = kSelf, .started = kStart});
-  const TimePoint cut = kStart + seconds(10);
-  AnswerAll(table, kStart, cut);
-  FailAll(table, cut, cut + seconds(30));
-  AnswerAll(table, cut + seconds(30), cut + seconds(32));
-  cr_expect(table.HearsAll(cut + seconds(32)));
+  const TimePoint partition_start = kStart + seconds(10);
+  AnswerAll(table, kStart, partition_start);
+  FailAll(table, partition_start, partition_start + seconds(30));
+  AnswerAll(table, partition_start + seconds(30),
+            partition_start + seconds(32));
+  cr_expect(table.HasFullView(partition_start + seconds(32)));
 }
 
 }  // namespace
--- a/knapweedroad/registry/follow_plan.h
+++ b/knapweedroad/registry/control_host_selection.h
@@ -2,8 +2,8 @@
 //
 //   std::vector<HostId> followed = PlanFollowing(known, {.zone = zone});
 
-#ifndef KNAPWEEDROAD_REGISTRY_FOLLOW_PLAN_H_
-#define KNAPWEEDROAD_REGISTRY_FOLLOW_PLAN_H_
+#ifndef KNAPWEEDROAD_REGISTRY_CONTROL_HOST_SELECTION_H_
+#define KNAPWEEDROAD_REGISTRY_CONTROL_HOST_SELECTION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -15,28 +15,28 @@
 namespace knapweedroad {
 
 // What a follower knows of one control host.
-struct FollowCandidate {
+struct ControlHostCandidate {
   HostId host;
   // Empty: not heard yet.
   ZoneId zone;
   bool is_live = false;
-  bool failed_lately = false;
+  bool failed_recently = false;
   // It says that it hears all other control hosts, so that its news is whole.
-  bool hears_all = false;
+  bool has_full_view = false;
   // It says that a quorum of the replicas answers it.
   bool has_quorum = false;
   // Orders candidates that are alike, differently on each follower.
   uint64_t rank = 0;
 };
 
-struct FollowPlanOptions {
+struct ControlHostSelectionOptions {
   // Control hosts of this zone come first.
   ZoneId zone;
   // Followed at a time while none is fit to be the only one.
-  size_t most = 3;
+  size_t max_selected = 3;
   // The same while none of them has a quorum: those that are cut off together
   // may come first in the order.
-  size_t most_without_quorum = 3;
+  size_t max_selected_without_quorum = 3;
 };
 
 // In order of preference. One that hears all others is enough; those that are
@@ -45,9 +45,10 @@
 //
 // One control host of the own zone is enough while it hears all others:
 // following several brings each change as often, most of it between zones.
-std::vector<HostId> PlanFollowing(std::span<const FollowCandidate> known,
-                                  const FollowPlanOptions& options);
+std::vector<HostId> SelectControlHosts(
+    std::span<const ControlHostCandidate> candidates,
+    const ControlHostSelectionOptions& options);
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_REGISTRY_FOLLOW_PLAN_H_
+#endif  // KNAPWEEDROAD_REGISTRY_CONTROL_HOST_SELECTION_H_
--- a/knapweedroad/registry/control_host_table.h
+++ b/knapweedroad/registry/control_host_table.h
@@ -19,7 +19,7 @@
 namespace knapweedroad {
 
 struct ControlHostRecord;
-struct FollowCandidate;
+struct ControlHostCandidate;
 struct WatchReply;
 
 struct ControlHostTableOptions {
@@ -37,10 +37,10 @@
   // A call to it has failed. True: it was live before.
   bool OnFailure(const HostId& host, TimePoint now);
   // Another host has named it, or it has called this one.
-  void OnNamed(const HostId& host, const ZoneId& zone, TimePoint now);
+  void OnMentioned(const HostId& host, const ZoneId& zone, TimePoint now);
   void OnCall(const HostId& host, TimePoint now);
   // A quorum of the replicas has answered a question asked at this time.
-  void OnQuorum(TimePoint asked) { this->quorum = asked; }
+  void OnQuorum(TimePoint query_sent) { this->last_quorum_query = query_sent; }
 
   // Forgets hosts that have long been neither heard nor named.
   void Forget(TimePoint now);
@@ -48,30 +48,30 @@
   // Those that have answered lately.
   std::vector<ControlHostRecord> Live(TimePoint now) const;
   // Those that are known and not live, as a log line names them.
-  std::string DescribeLost(TimePoint now) const;
+  std::string DescribeUnreachable(TimePoint now) const;
   // All that are known.
   std::vector<HostId> Hosts() const;
   ZoneId ZoneOf(const HostId& host) const;
   // Whether a host of the zone answered its last call.
-  bool HasAnswering(const ZoneId& zone) const;
-  bool IsAnswering(const HostId& host) const;
+  bool HasResponsiveHost(const ZoneId& zone) const;
+  bool IsResponsive(const HostId& host) const;
   // `host` as a host to follow, but for its rank.
-  FollowCandidate Candidate(const HostId& host, TimePoint now) const;
+  ControlHostCandidate Candidate(const HostId& host, TimePoint now) const;
 
   // Whether news from this host is whole: a quorum answers it, and so does
   // every control host that anybody has heard lately.
-  bool HearsAll(TimePoint now) const;
+  bool HasFullView(TimePoint now) const;
   // Whether a quorum has answered lately.
   bool HasQuorum(TimePoint now) const;
   // Since the last question that a quorum has answered; nothing: never.
   std::optional<Duration> QuorumAge(TimePoint now) const;
 
  private:
-  struct Known {
-    TimePoint heard;
-    TimePoint failed;
-    bool is_answering = false;
-    bool hears_all = false;
+  struct HostState {
+    TimePoint last_seen;
+    TimePoint last_failure;
+    bool is_responsive = false;
+    bool has_full_view = false;
     bool has_quorum = false;
     // Empty: not heard yet.
     ZoneId zone;
@@ -80,8 +80,8 @@
   };
 
   ControlHostTableOptions options;
-  std::map<HostId, Known> known;
-  std::optional<TimePoint> quorum;
+  std::map<HostId, HostState> hosts;
+  std::optional<TimePoint> last_quorum_query;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/control_hosts_view.h
+++ b/knapweedroad/registry/control_hosts_view.h
@@ -12,9 +12,9 @@
 // What a control host makes of the others at one moment.
 struct ControlHostsView {
   // Its news is whole.
-  bool hears_all = false;
+  bool has_full_view = false;
   // Those that are known and don't answer, as a log line names them.
-  std::string lost;
+  std::string unreachable;
   // Since the last question that a quorum has answered; nothing: never.
   std::optional<Duration> quorum_age;
 };
--- a/knapweedroad/registry/outcome_collector.cc
+++ b/knapweedroad/registry/outcome_collector.cc
@@ -10,16 +10,17 @@
 
 // Between two judgements: at the least, and for each target, so that judging
 // many targets takes a small part of a processor.
-constexpr Duration kJudgeSpacing = std::chrono::milliseconds(50);
-constexpr Duration kJudgeSpacingATarget = std::chrono::microseconds(30);
+constexpr Duration kMinEvaluationInterval = std::chrono::milliseconds(50);
+constexpr Duration kEvaluationIntervalPerTarget = std::chrono::microseconds(30);
 // Targets whose outcomes are passed on in one report.
-constexpr size_t kMostPassedOn = 1000;
+constexpr size_t kMaxForwardedTargets = 1000;
 
 }  // namespace
 
 OutcomeCollector::OutcomeCollector()
-    : recorder({.most_reported = kMostPassedOn,
-                .enough_alone = std::numeric_limits<uint32_t>::max()}) {}
+    : recorder(
+          {.max_reported_targets = kMaxForwardedTargets,
+           .max_attempts_per_target = std::numeric_limits<uint32_t>::max()}) {}
 
 // What another control host has passed on isn't passed on again.
 void OutcomeCollector::Add(const OutcomeReport& report, TimePoint now) {
@@ -27,8 +28,8 @@
   if (report.role != FollowerRole::kEntry) {
     return;
   }
-  for (const TargetOutcomes& seen : report.outcomes) {
-    this->recorder.Count(seen);
+  for (const TargetOutcomes& outcomes : report.outcomes) {
+    this->recorder.Count(outcomes);
   }
 }
 
@@ -37,17 +38,18 @@
   this->Add(report, now);
   const auto targets = static_cast<int64_t>(this->outlier_detector.size());
   return std::max(
-      now, this->judged + std::max<Duration>(kJudgeSpacing,
-                                             kJudgeSpacingATarget * targets));
+      now, this->last_evaluation +
+               std::max<Duration>(kMinEvaluationInterval,
+                                  kEvaluationIntervalPerTarget * targets));
 }
 
-bool OutcomeCollector::Judge(const OutlierDetector::ServiceOf& service_of,
-                             TimePoint now) {
-  this->judged = now;
+bool OutcomeCollector::Evaluate(const OutlierDetector::ServiceOf& service_of,
+                                TimePoint now) {
+  this->last_evaluation = now;
   return this->outlier_detector.Refresh(service_of, now);
 }
 
-std::vector<TargetOutcomes> OutcomeCollector::TakeFor(
+std::vector<TargetOutcomes> OutcomeCollector::TakeUnforwarded(
     const HostId& control_host,
     TimePoint now) {
   return this->recorder.Take(control_host, now);
--- a/knapweedroad/registry/outcome_collector.h
+++ b/knapweedroad/registry/outcome_collector.h
@@ -33,12 +33,12 @@
   TimePoint AddUrgent(const OutcomeReport& report, TimePoint now);
 
   // Makes the lists of outliers anew; true: they have changed.
-  bool Judge(const OutlierDetector::ServiceOf& service_of, TimePoint now);
+  bool Evaluate(const OutlierDetector::ServiceOf& service_of, TimePoint now);
 
   // What entry hosts have reported here and that control host of the zone
   // hasn't heard yet.
-  std::vector<TargetOutcomes> TakeFor(const HostId& control_host,
-                                      TimePoint now);
+  std::vector<TargetOutcomes> TakeUnforwarded(const HostId& control_host,
+                                              TimePoint now);
 
   OutlierDetector& detector() { return this->outlier_detector; }
   const OutlierDetector& detector() const { return this->outlier_detector; }
@@ -46,7 +46,7 @@
  private:
   OutlierDetector outlier_detector;
   OutcomeRecorder recorder;
-  TimePoint judged;
+  TimePoint last_evaluation;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/outcome_collector_test.cc
+++ b/knapweedroad/registry/outcome_collector_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 const TimePoint kStart{seconds(1000)};
-const HostId kSibling("c2");
+const HostId kPeer("c2");
 
 ServiceId OneService(const TargetId&) {
   return ServiceId("s");
@@ -27,29 +27,30 @@
   return {.role = role, .outcomes = {{TargetId("bad"), 0, count, 0, 0}}};
 }
 
-Test(outcome_collector, what_entry_hosts_report_is_passed_on_once) {
+Test(outcome_collector, entry_host_reports_are_forwarded_once) {
   OutcomeCollector collector;
-  collector.TakeFor(kSibling, kStart);
+  collector.TakeUnforwarded(kPeer, kStart);
   collector.Add(Failures(2), kStart);
   collector.AddUrgent(Failures(1), kStart);
-  const auto passed_on = collector.TakeFor(kSibling, kStart);
-  cr_assert(passed_on.size() == 1);
-  cr_expect(passed_on[0].failed == 3);
-  cr_expect(collector.TakeFor(kSibling, kStart).empty());
+  const auto forwarded = collector.TakeUnforwarded(kPeer, kStart);
+  cr_assert(forwarded.size() == 1);
+  cr_expect(forwarded[0].failed == 3);
+  cr_expect(collector.TakeUnforwarded(kPeer, kStart).empty());
 }
 
 // Guards against outcomes that two control hosts send to and fro for ever.
-Test(outcome_collector, what_a_control_host_passed_on_is_not_passed_back) {
+Test(outcome_collector, forwarded_reports_are_not_forwarded_again) {
   OutcomeCollector collector;
-  collector.TakeFor(kSibling, kStart);
+  collector.TakeUnforwarded(kPeer, kStart);
   collector.Add(Failures(2, FollowerRole::kControl), kStart);
-  cr_expect(collector.TakeFor(kSibling, kStart).empty());
+  cr_expect(collector.TakeUnforwarded(kPeer, kStart).empty());
 }
 
-Test(outcome_collector, urgent_reports_are_judged_at_once_but_not_each) {
+Test(outcome_collector,
+     urgent_reports_are_evaluated_at_once_but_not_one_by_one) {
   OutcomeCollector collector;
   cr_expect(collector.AddUrgent(Failures(10), kStart) == kStart);
-  cr_expect(collector.Judge(OneService, kStart));
+  cr_expect(collector.Evaluate(OneService, kStart));
   const TimePoint soon = kStart + milliseconds(10);
   cr_expect(collector.AddUrgent(Failures(1), soon) > soon);
   cr_expect(collector.AddUrgent(Failures(1), soon) < soon + milliseconds(100));
@@ -57,18 +58,18 @@
 
 // The pattern: the hosts of a zone each ask dozens of targets once or twice a
 // second, and half of the targets begin to refuse two of five requests.
-class RefusingZone {
+class RefusingZoneSimulation {
  public:
   // How long until both control hosts list nine of ten refusing targets.
-  Duration TimeToKnow() {
+  Duration TimeToDetect() {
     for (OutcomeCollector& collector : this->control) {
-      collector.TakeFor(kSibling, kStart);
+      collector.TakeUnforwarded(kPeer, kStart);
     }
     for (TimePoint now = kStart; now < kStart + seconds(5);
          now += milliseconds(1)) {
-      this->AskAll(now);
-      this->JudgeWhereDue(now);
-      if (this->Knows(0) && this->Knows(1)) {
+      this->QueryAllTargets(now);
+      this->EvaluateWhereDue(now);
+      if (this->HasDetected(0) && this->HasDetected(1)) {
         return now - kStart;
       }
     }
@@ -86,45 +87,46 @@
     return TargetId("t" + std::to_string(index));
   }
 
-  void AskAll(TimePoint now) {
-    std::uniform_real_distribution<double> lot(0, 1);
-    if (lot(this->random) >= kRate / 1000) {
+  void QueryAllTargets(TimePoint now) {
+    std::uniform_real_distribution<double> uniform(0, 1);
+    if (uniform(this->random) >= kRate / 1000) {
       return;
     }
-    const size_t to = this->random() % 2;
+    const size_t receiver = this->random() % 2;
     OutcomeReport report;
     for (size_t i = 0; i < kTargets; ++i) {
-      const bool fails = i < kRefusing && lot(this->random) < kRefusedShare;
+      const bool fails = i < kRefusing && uniform(this->random) < kRefusedShare;
       report.outcomes.push_back({Target(i), fails ? 0U : 1U, fails ? 1U : 0U,
                                  fails ? 0U : 1U, fails ? 0U : 10'000U});
     }
-    this->due[to] = this->control[to].AddUrgent(report, now);
-    this->due[1 - to] = this->control[1 - to].AddUrgent(
+    this->due[receiver] = this->control[receiver].AddUrgent(report, now);
+    this->due[1 - receiver] = this->control[1 - receiver].AddUrgent(
         {.role = FollowerRole::kControl,
-         .outcomes = this->control[to].TakeFor(kSibling, now)},
+         .outcomes = this->control[receiver].TakeUnforwarded(kPeer, now)},
         now);
   }
 
-  void JudgeWhereDue(TimePoint now) {
+  void EvaluateWhereDue(TimePoint now) {
     for (size_t i = 0; i < this->control.size(); ++i) {
       if (this->due[i] != TimePoint() && now >= this->due[i]) {
         this->due[i] = TimePoint();
-        this->control[i].Judge(OneService, now);
+        this->control[i].Evaluate(OneService, now);
       }
     }
   }
 
-  bool Knows(size_t index) const {
+  bool HasDetected(size_t index) const {
     const auto& listed = this->control[index].detector().outliers();
-    const auto known = std::ranges::count_if(listed, [](const auto& outlier) {
-      for (size_t i = 0; i < kRefusing; ++i) {
-        if (outlier.target == Target(i)) {
-          return true;
-        }
-      }
-      return false;
-    });
-    return static_cast<double>(known) >= 0.9 * kRefusing;
+    const auto detected =
+        std::ranges::count_if(listed, [](const auto& outlier) {
+          for (size_t i = 0; i < kRefusing; ++i) {
+            if (outlier.target == Target(i)) {
+              return true;
+            }
+          }
+          return false;
+        });
+    return static_cast<double>(detected) >= 0.9 * kRefusing;
   }
 
   std::array<OutcomeCollector, 2> control;
@@ -134,10 +136,10 @@
 
 // Guards against targets that refuse for a second before a zone's hosts, each
 // of which has met few of the refusals, know of them.
-Test(outcome_collector, a_zone_knows_refusing_targets_within_half_a_second) {
-  const Duration took = RefusingZone().TimeToKnow();
-  cr_expect(took < milliseconds(500), "%lld ms",
-            static_cast<long long>(took / milliseconds(1)));
+Test(outcome_collector, zone_detects_refusing_targets_within_half_a_second) {
+  const Duration detection_time = RefusingZoneSimulation().TimeToDetect();
+  cr_expect(detection_time < milliseconds(500), "%lld ms",
+            static_cast<long long>(detection_time / milliseconds(1)));
 }
 
 }  // namespace
--- a/knapweedroad/registry/outcome_recorder.cc
+++ b/knapweedroad/registry/outcome_recorder.cc
@@ -7,36 +7,37 @@
 
 // Nothing is kept for a control host that hasn't asked for this long; longer
 // than a call is held. Old outcomes mislead.
-constexpr Duration kKeepFor = std::chrono::milliseconds(2500);
+constexpr Duration kRetention = std::chrono::milliseconds(2500);
 
 }  // namespace
 
-void OutcomeRecorder::Count(const TargetOutcomes& seen) {
+void OutcomeRecorder::Count(const TargetOutcomes& outcomes) {
   for (auto& [host, pending] : this->pending) {
-    TargetOutcomes& sum = pending.targets[seen.target];
-    sum.target = seen.target;
-    sum.answered += seen.answered;
-    sum.failed += seen.failed;
-    sum.timed += seen.timed;
-    sum.latency_us += seen.latency_us;
+    TargetOutcomes& sum = pending.targets[outcomes.target];
+    sum.target = outcomes.target;
+    sum.answered += outcomes.answered;
+    sum.failed += outcomes.failed;
+    sum.timed += outcomes.timed;
+    sum.latency_us += outcomes.latency_us;
   }
 }
 
 std::vector<TargetOutcomes> OutcomeRecorder::Take(const HostId& control_host,
                                                   TimePoint now) {
   std::erase_if(this->pending, [&](const auto& entry) {
-    return now - entry.second.taken > kKeepFor;
+    return now - entry.second.last_taken > kRetention;
   });
-  Pending& own = this->pending[control_host];
-  own.taken = now;
+  Pending& host_pending = this->pending[control_host];
+  host_pending.last_taken = now;
   std::vector<TargetOutcomes> report;
-  for (auto at = own.targets.begin();
-       at != own.targets.end() &&
-       report.size() < this->options.most_reported;) {
-    if (at->second.answered + at->second.failed <= this->options.enough_alone) {
-      report.push_back(std::move(at->second));
+  for (auto it = host_pending.targets.begin();
+       it != host_pending.targets.end() &&
+       report.size() < this->options.max_reported_targets;) {
+    if (it->second.answered + it->second.failed <=
+        this->options.max_attempts_per_target) {
+      report.push_back(std::move(it->second));
     }
-    at = own.targets.erase(at);
+    it = host_pending.targets.erase(it);
   }
   return report;
 }
--- a/knapweedroad/registry/outcome_recorder.h
+++ b/knapweedroad/registry/outcome_recorder.h
@@ -23,10 +23,10 @@
 struct OutcomeRecorderOptions {
   // A report's size. At the default, packed, about 1 KB: a call a second to two
   // control hosts is 2 of the 3 KB/s that a host may spend on control.
-  size_t most_reported = 64;
+  size_t max_reported_targets = 64;
   // A target asked more often than this between two reports is left out: the
   // host knows enough by itself, and so does every other one of its load.
-  uint32_t enough_alone = 50;
+  uint32_t max_attempts_per_target = 50;
 };
 
 class OutcomeRecorder {
@@ -35,7 +35,7 @@
       : options(options) {}
 
   // Adds to what every control host is still to hear.
-  void Count(const TargetOutcomes& seen);
+  void Count(const TargetOutcomes& outcomes);
 
   // What `control_host` hasn't heard; the first call gives nothing. A part of
   // it where there is more than a report holds: the rest comes with the next.
@@ -44,7 +44,7 @@
  private:
   struct Pending {
     std::unordered_map<TargetId, TargetOutcomes> targets;
-    TimePoint taken;
+    TimePoint last_taken;
   };
 
   OutcomeRecorderOptions options;
--- a/knapweedroad/registry/outlier_detector.h
+++ b/knapweedroad/registry/outlier_detector.h
@@ -25,7 +25,7 @@
 #include "knapweedroad/base/id.h"
 #include "knapweedroad/base/time.h"
 #include "knapweedroad/registry/target_outcomes.h"
-#include "knapweedroad/registry/told_list.h"
+#include "knapweedroad/registry/versioned_list.h"
 
 namespace knapweedroad {
 
@@ -39,11 +39,11 @@
 
   // What a control host of another zone has listed by its own zone's reports;
   // replaces what it said before.
-  void LearnOthers(const HostId& control_host,
-                   std::vector<TargetOutlier> outliers,
-                   TimePoint now);
+  void SetRemoteOutliers(const HostId& control_host,
+                         std::vector<TargetOutlier> outliers,
+                         TimePoint now);
   // That control host has replied without news: its list still holds.
-  void HearOthers(const HostId& control_host, TimePoint now);
+  void RefreshRemoteOutliers(const HostId& control_host, TimePoint now);
 
   // Makes the lists anew. True: the whole one differs from the one before.
   bool Refresh(const ServiceOf& service_of, TimePoint now);
@@ -52,19 +52,20 @@
   // targets of which those say too little, by what other zones listed.
   const std::vector<TargetOutlier>& outliers() const { return this->listed; }
   // Rises with each change of the list.
-  uint64_t revision() const { return this->changes; }
+  uint64_t revision() const { return this->list_revision; }
   // The same by this zone's reports alone, to be told to other zones.
   const std::vector<TargetOutlier>& own_outliers() const {
     return this->own_listed;
   }
   // What a host with that revision of a list is to hear of it.
-  ListNews<TargetOutlier, TargetId> NewsSince(uint64_t revision) const {
-    return this->told.Since(revision);
+  ListDelta<TargetOutlier, TargetId> DeltaSince(uint64_t revision) const {
+    return this->published.DeltaSince(revision);
   }
-  ListNews<TargetOutlier, TargetId> OwnNewsSince(uint64_t own_revision) const {
-    return this->own_told.Since(own_revision);
+  ListDelta<TargetOutlier, TargetId> OwnDeltaSince(
+      uint64_t own_revision) const {
+    return this->own_published.DeltaSince(own_revision);
   }
-  uint64_t own_revision() const { return this->own_changes; }
+  uint64_t own_revision() const { return this->own_list_revision; }
   size_t size() const { return this->targets.size(); }
 
  private:
@@ -74,11 +75,11 @@
     double failed = 0;
     double timed = 0;
     double latency_us = 0;
-    TimePoint faded;
-    TimePoint heard;
+    TimePoint decayed_at;
+    TimePoint last_received;
     // As last listed, and when there were last attempts enough to say so.
     TargetOutlier outlier;
-    TimePoint judged;
+    TimePoint evaluated_at;
 
     bool is_listed() const {
       return this->outlier.failed > 0 || this->outlier.slowdown > 1;
@@ -88,30 +89,32 @@
   // The least latency that a service's targets were seen with lately.
   struct BestLatency {
     double us = 0;
-    TimePoint at;
+    TimePoint observed_at;
   };
 
-  struct OthersList {
+  struct RemoteList {
     std::vector<TargetOutlier> outliers;
-    TimePoint heard;
+    TimePoint last_received;
   };
 
   // Adds what other zones listed and this one knows too little of.
-  void AddOthers(std::vector<TargetOutlier>& list, TimePoint now);
+  void AddRemoteOutliers(std::vector<TargetOutlier>& list, TimePoint now);
 
-  static void Fade(Entry& entry, TimePoint now);
-  static void Judge(Entry& entry, double best_latency_us, TimePoint now);
-  void RememberBest(const ServiceId& service, double latency_us, TimePoint now);
+  static void Decay(Entry& entry, TimePoint now);
+  static void Evaluate(Entry& entry, double best_latency_us, TimePoint now);
+  void UpdateBestLatency(const ServiceId& service,
+                         double latency_us,
+                         TimePoint now);
 
   std::unordered_map<TargetId, Entry> targets;
   std::map<ServiceId, BestLatency> best;
-  std::map<HostId, OthersList> others;
+  std::map<HostId, RemoteList> remote_lists;
   std::vector<TargetOutlier> own_listed;
-  uint64_t own_changes = 0;
-  ToldList<TargetOutlier, TargetId> own_told;
+  uint64_t own_list_revision = 0;
+  VersionedList<TargetOutlier, TargetId> own_published;
   std::vector<TargetOutlier> listed;
-  uint64_t changes = 0;
-  ToldList<TargetOutlier, TargetId> told;
+  uint64_t list_revision = 0;
+  VersionedList<TargetOutlier, TargetId> published;
 };
 
 // "TARGET(failed_eighths:3,slowdown:1) " for the first few, for the log.
--- a/knapweedroad/registry/outlier_detector_test.cc
+++ b/knapweedroad/registry/outlier_detector_test.cc
@@ -17,29 +17,29 @@
   return ServiceId("s");
 }
 
-TargetOutcomes Answers(const char* target, uint32_t count, uint64_t each_us) {
+TargetOutcomes Answered(const char* target, uint32_t count, uint64_t each_us) {
   return {.target = TargetId(target),
           .answered = count,
           .timed = count,
           .latency_us = count * each_us};
 }
 
-void AddAll(OutlierDetector& detector,
-            const std::vector<TargetOutcomes>& report,
-            TimePoint now) {
+void AddReport(OutlierDetector& detector,
+               const std::vector<TargetOutcomes>& report,
+               TimePoint now) {
   detector.Add(report, now);
 }
 
 // Dozens of hosts ask a target once in two seconds each. It refuses every
 // second request; each host sees one or two of the refusals, too few to avoid
 // it. Together they show it at once.
-Test(outlier_detector, a_target_that_many_hosts_see_refuse_is_listed) {
+Test(outlier_detector, target_that_refuses_many_hosts_is_listed) {
   OutlierDetector detector;
   for (int host = 0; host < 8; ++host) {
-    AddAll(detector,
-           {{.target = TargetId("bad"), .answered = 1, .failed = 1},
-            Answers("good", 2, 10'000)},
-           kStart);
+    AddReport(detector,
+              {{.target = TargetId("bad"), .answered = 1, .failed = 1},
+               Answered("good", 2, 10'000)},
+              kStart);
   }
   cr_assert(detector.Refresh(OneService, kStart));
   cr_assert_eq(detector.outliers().size(), 1);
@@ -49,12 +49,12 @@
 
 // A target turns seven times as slow; answers of its shard come late until
 // every host has noticed by itself.
-Test(outlier_detector, a_slow_target_is_listed_with_its_slowdown) {
+Test(outlier_detector, slow_target_is_listed_with_its_slowdown) {
   OutlierDetector detector;
-  AddAll(detector,
-         {Answers("slow", 10, 70'000), Answers("a", 10, 10'000),
-          Answers("b", 10, 15'000)},
-         kStart);
+  AddReport(detector,
+            {Answered("slow", 10, 70'000), Answered("a", 10, 10'000),
+             Answered("b", 10, 15'000)},
+            kStart);
   cr_assert(detector.Refresh(OneService, kStart));
   cr_assert_eq(detector.outliers().size(), 1);
   cr_expect_eq(detector.outliers()[0].target, TargetId("slow"));
@@ -64,15 +64,16 @@
 // A zone's hosts ask their own zone's target nearly always. It turns eight
 // times as slow; the two others were asked too seldom to compare it with, and
 // callers of the zone wait for it until each host has noticed alone.
-Test(outlier_detector, a_target_that_is_asked_alone_is_compared_with_before) {
+Test(outlier_detector,
+     target_with_nearly_all_requests_is_compared_with_earlier_latency) {
   OutlierDetector detector;
-  AddAll(detector, {Answers("near", 30, 12'000), Answers("far", 2, 12'000)},
-         kStart);
+  AddReport(detector,
+            {Answered("near", 30, 12'000), Answered("far", 2, 12'000)}, kStart);
   detector.Refresh(OneService, kStart);
   cr_assert(detector.outliers().empty());
   const TimePoint later = kStart + seconds(8);
-  AddAll(detector, {Answers("near", 30, 96'000), Answers("far", 2, 12'000)},
-         later);
+  AddReport(detector,
+            {Answered("near", 30, 96'000), Answered("far", 2, 12'000)}, later);
   cr_assert(detector.Refresh(OneService, later));
   cr_assert_eq(detector.outliers().size(), 1);
   cr_expect_eq(detector.outliers()[0].target, TargetId("near"));
@@ -80,34 +81,35 @@
 
 // All targets of a service have twice the work for a minute. They are compared
 // with each other again, and none is an outlier.
-Test(outlier_detector, a_service_with_more_to_do_is_not_in_trouble) {
+Test(outlier_detector, service_under_higher_load_has_no_outliers) {
   OutlierDetector detector;
   for (int second = 0; second < 60; ++second) {
     const TimePoint now = kStart + seconds(second);
     const uint64_t latency_us = second < 20 ? 10'000 : 20'000;
-    AddAll(detector,
-           {Answers("a", 20, latency_us), Answers("b", 20, latency_us)}, now);
+    AddReport(detector,
+              {Answered("a", 20, latency_us), Answered("b", 20, latency_us)},
+              now);
     detector.Refresh(OneService, now);
   }
   cr_expect(detector.outliers().empty());
 }
 
-Test(outlier_detector, few_attempts_tell_nothing) {
+Test(outlier_detector, too_few_attempts_list_no_target) {
   OutlierDetector detector;
-  AddAll(detector,
-         {{.target = TargetId("t"), .answered = 1, .failed = 3},
-          Answers("u", 5, 70'000),
-          Answers("v", 10, 10'000)},
-         kStart);
+  AddReport(detector,
+            {{.target = TargetId("t"), .answered = 1, .failed = 3},
+             Answered("u", 5, 70'000),
+             Answered("v", 10, 10'000)},
+            kStart);
   cr_expect_not(detector.Refresh(OneService, kStart));
 }
 
 // A listed target is hardly asked any more. Without evidence it must neither
 // come off the list within moments, or all hosts fall for it again, nor stay
 // there for ever.
-Test(outlier_detector, a_listed_target_is_kept_for_a_while_without_evidence) {
+Test(outlier_detector, listed_target_without_new_outcomes_is_kept_for_a_while) {
   OutlierDetector detector;
-  AddAll(detector, {{.target = TargetId("bad"), .failed = 10}}, kStart);
+  AddReport(detector, {{.target = TargetId("bad"), .failed = 10}}, kStart);
   cr_assert(detector.Refresh(OneService, kStart));
   cr_expect_not(detector.Refresh(OneService, kStart + seconds(10)));
   cr_expect_eq(detector.outliers().size(), 1);
@@ -115,28 +117,28 @@
   cr_expect(detector.outliers().empty());
 }
 
-Test(outlier_detector, a_target_that_is_well_again_comes_off_at_once) {
+Test(outlier_detector, recovered_target_is_unlisted_at_once) {
   OutlierDetector detector;
-  AddAll(detector, {{.target = TargetId("t"), .failed = 10}}, kStart);
+  AddReport(detector, {{.target = TargetId("t"), .failed = 10}}, kStart);
   cr_assert(detector.Refresh(OneService, kStart));
   const TimePoint later = kStart + seconds(8);
-  AddAll(detector, {Answers("t", 20, 10'000)}, later);
+  AddReport(detector, {Answered("t", 20, 10'000)}, later);
   cr_assert(detector.Refresh(OneService, later));
   cr_expect(detector.outliers().empty());
 }
 
 // Answers lost now and then on half of the targets are no reason to avoid half
 // of the targets: the other half would get all the load.
-Test(outlier_detector, a_small_share_of_failures_is_no_trouble) {
+Test(outlier_detector, small_share_of_failures_lists_no_target) {
   OutlierDetector detector;
-  AddAll(detector, {{.target = TargetId("t"), .answered = 95, .failed = 5}},
-         kStart);
+  AddReport(detector, {{.target = TargetId("t"), .answered = 95, .failed = 5}},
+            kStart);
   cr_expect_not(detector.Refresh(OneService, kStart));
 }
 
-Test(outlier_detector, targets_that_are_gone_are_dropped) {
+Test(outlier_detector, removed_targets_are_dropped) {
   OutlierDetector detector;
-  AddAll(detector, {{.target = TargetId("t"), .failed = 10}}, kStart);
+  AddReport(detector, {{.target = TargetId("t"), .failed = 10}}, kStart);
   cr_assert(detector.Refresh(OneService, kStart));
   cr_expect(
       detector.Refresh([](const TargetId&) { return ServiceId(); }, kStart));
@@ -144,11 +146,11 @@
   cr_expect_eq(detector.revision(), 2);
 }
 
-Test(outlier_detector, the_list_is_bounded) {
+Test(outlier_detector, list_size_is_bounded) {
   OutlierDetector detector;
   for (int i = 0; i < 1000; ++i) {
     const std::string name = "t" + std::to_string(i);
-    AddAll(detector, {{.target = TargetId(name), .failed = 10}}, kStart);
+    AddReport(detector, {{.target = TargetId(name), .failed = 10}}, kStart);
   }
   cr_assert(detector.Refresh(OneService, kStart));
   cr_expect_eq(detector.outliers().size(), 256);
@@ -157,34 +159,35 @@
 // Two of three targets refuse half of their requests and, with little to do,
 // answer the others fast. The third has the rest of the work; listed as slow it
 // would be avoided for those that refuse.
-Test(outlier_detector, a_busy_target_is_not_compared_with_one_that_refuses) {
+Test(outlier_detector, busy_target_is_not_compared_with_refusing_target) {
   OutlierDetector detector;
-  AddAll(detector,
-         {{.target = TargetId("refuses"),
-           .answered = 10,
-           .failed = 10,
-           .timed = 10,
-           .latency_us = 100'000},
-          Answers("busy", 20, 40'000)},
-         kStart);
+  AddReport(detector,
+            {{.target = TargetId("refuses"),
+              .answered = 10,
+              .failed = 10,
+              .timed = 10,
+              .latency_us = 100'000},
+             Answered("busy", 20, 40'000)},
+            kStart);
   detector.Refresh(OneService, kStart);
   cr_assert_eq(detector.outliers().size(), 1);
   cr_expect_eq(detector.outliers()[0].target, TargetId("refuses"));
 }
 
-TargetOutlier Slow(const char* target, uint8_t slowdown) {
+TargetOutlier SlowOutlier(const char* target, uint8_t slowdown) {
   return {.target = TargetId(target), .slowdown = slowdown};
 }
 
-const HostId kOther("control-of-another-zone");
+const HostId kRemoteControlHost("control-of-another-zone");
 
 // A target of another zone turns slow. This zone's hosts ask it once a second
 // together, too seldom to see it; with dozens of shards nearly every scatter
 // waits for one such target until its own zone has told.
-Test(outlier_detector, what_another_zone_has_listed_is_listed_here) {
+Test(outlier_detector, outliers_of_another_zone_are_listed) {
   OutlierDetector detector;
-  AddAll(detector, {Answers("far", 2, 90'000)}, kStart);
-  detector.LearnOthers(kOther, {Slow("far", 8)}, kStart);
+  AddReport(detector, {Answered("far", 2, 90'000)}, kStart);
+  detector.SetRemoteOutliers(kRemoteControlHost, {SlowOutlier("far", 8)},
+                             kStart);
   cr_assert(detector.Refresh(OneService, kStart));
   cr_assert_eq(detector.outliers().size(), 1);
   cr_expect_eq(detector.outliers()[0].slowdown, 8);
@@ -194,21 +197,24 @@
 
 // A target fails for the callers of one zone alone. The others' hosts, which
 // ask it often and are served, go on using it.
-Test(outlier_detector, what_this_zone_sees_goes_before_what_others_listed) {
+Test(outlier_detector,
+     outcomes_of_this_zone_take_precedence_over_remote_lists) {
   OutlierDetector detector;
-  AddAll(detector, {Answers("near", 20, 10'000)}, kStart);
-  detector.LearnOthers(kOther, {Slow("near", 8)}, kStart);
+  AddReport(detector, {Answered("near", 20, 10'000)}, kStart);
+  detector.SetRemoteOutliers(kRemoteControlHost, {SlowOutlier("near", 8)},
+                             kStart);
   detector.Refresh(OneService, kStart);
   cr_expect(detector.outliers().empty());
 }
 
 // The zone that listed a target is cut off. What it said is forgotten, as
 // nobody there can say any more that the target is well.
-Test(outlier_detector, the_list_of_a_zone_that_fell_silent_is_dropped) {
+Test(outlier_detector, list_of_an_unreachable_zone_is_dropped) {
   OutlierDetector detector;
-  detector.LearnOthers(kOther, {Slow("far", 8)}, kStart);
+  detector.SetRemoteOutliers(kRemoteControlHost, {SlowOutlier("far", 8)},
+                             kStart);
   detector.Refresh(OneService, kStart);
-  detector.HearOthers(kOther, kStart + seconds(3));
+  detector.RefreshRemoteOutliers(kRemoteControlHost, kStart + seconds(3));
   detector.Refresh(OneService, kStart + seconds(6));
   cr_expect_eq(detector.outliers().size(), 1);
   detector.Refresh(OneService, kStart + seconds(8));
--- a/knapweedroad/registry/registry_fuzz.cc
+++ b/knapweedroad/registry/registry_fuzz.cc
@@ -23,26 +23,26 @@
 namespace {
 
 template <typename Message>
-void ReadAndWrite(std::string_view bytes) {
+void CheckRoundTrip(std::string_view bytes) {
   const auto message = DecodePacked<Message>(bytes);
   if (!message) {
     return;
   }
   const std::string written = EncodePacked(*message);
-  const auto again = DecodePacked<Message>(written);
-  if (!again || EncodePacked(*again) != written) {
+  const auto decoded_again = DecodePacked<Message>(written);
+  if (!decoded_again || EncodePacked(*decoded_again) != written) {
     std::abort();
   }
 }
 
-void ReadAndWriteState(std::string_view bytes) {
+void CheckAgreedStateRoundTrip(std::string_view bytes) {
   const auto state = DecodeAgreedState(bytes);
   if (!state) {
     return;
   }
   const std::string written = EncodeAgreedState(*state);
-  const auto again = DecodeAgreedState(written);
-  if (!again || EncodeAgreedState(*again) != written) {
+  const auto decoded_again = DecodeAgreedState(written);
+  if (!decoded_again || EncodeAgreedState(*decoded_again) != written) {
     std::abort();
   }
 }
@@ -59,25 +59,25 @@
                                size - 1);
   switch (data[0] % 7) {
     case 0:
-      ReadAndWrite<WatchCall>(bytes);
+      CheckRoundTrip<WatchCall>(bytes);
       break;
     case 1:
-      ReadAndWrite<WatchReply>(bytes);
+      CheckRoundTrip<WatchReply>(bytes);
       break;
     case 2:
-      ReadAndWrite<PullReply>(bytes);
+      CheckRoundTrip<PullReply>(bytes);
       break;
     case 3:
-      ReadAndWrite<OutcomeReport>(bytes);
+      CheckRoundTrip<OutcomeReport>(bytes);
       break;
     case 4:
-      ReadAndWrite<RolloutReport>(bytes);
+      CheckRoundTrip<RolloutReport>(bytes);
       break;
     case 5:
-      ReadAndWrite<RolloutReportReply>(bytes);
+      CheckRoundTrip<RolloutReportReply>(bytes);
       break;
     default:
-      ReadAndWriteState(bytes);
+      CheckAgreedStateRoundTrip(bytes);
       break;
   }
   return 0;
--- a/knapweedroad/registry/target_record.h
+++ b/knapweedroad/registry/target_record.h
@@ -37,7 +37,7 @@
   // For how much longer it bears little, from when the record was passed on.
   Duration cold_left{};
   // The control host that its heartbeats reach.
-  HostId heard_by;
+  HostId heartbeat_receiver;
 
   friend bool operator==(const TargetRecord&, const TargetRecord&) = default;
 
@@ -47,7 +47,7 @@
     int64_t cold_ns = this->cold_left.count();
     archive(this->id, this->service, this->zone, this->version,
             this->address.ip, this->address.port, this->slots, this->started_ms,
-            this->sequence, this->phase, cold_ns, this->heard_by);
+            this->sequence, this->phase, cold_ns, this->heartbeat_receiver);
     this->cold_left = Duration(cold_ns);
   }
 };
--- a/knapweedroad/registry/target_registry.cc
+++ b/knapweedroad/registry/target_registry.cc
@@ -12,16 +12,17 @@
 // less is the jitter of delivery.
 constexpr Duration kColdJitter = std::chrono::milliseconds(400);
 
-std::string Key(const Endpoint& address) {
+std::string AddressKey(const Endpoint& address) {
   return address.ip + ":" + std::to_string(address.port);
 }
 
 // Whether others act differently on the two records.
-bool DiffersForOthers(const TargetRecord& left, const TargetRecord& right) {
+bool DiffersVisibly(const TargetRecord& left, const TargetRecord& right) {
   return left.service != right.service || left.zone != right.zone ||
          left.version != right.version || left.address != right.address ||
          left.slots != right.slots || left.started_ms != right.started_ms ||
-         left.phase != right.phase || left.heard_by != right.heard_by;
+         left.phase != right.phase ||
+         left.heartbeat_receiver != right.heartbeat_receiver;
 }
 
 }  // namespace
@@ -29,7 +30,7 @@
 TargetRegistry::TargetRegistry(TargetRegistryOptions options)
     : options(std::move(options)) {}
 
-bool TargetRegistry::Take(TargetRecord record, TimePoint now) {
+bool TargetRegistry::Apply(TargetRecord record, TimePoint now) {
   const auto [place, is_new] = this->entries.try_emplace(record.id);
   Entry& entry = place->second;
   if (!is_new && !Supersedes(record, entry.record)) {
@@ -41,14 +42,14 @@
           ? cold_until - entry.cold_until > kColdJitter && cold_until > now
           : entry.cold_until - cold_until > kColdJitter &&
                 entry.cold_until > now;
-  const bool tell =
-      is_new || cold_moved || DiffersForOthers(record, entry.record);
+  const bool is_visible_change =
+      is_new || cold_moved || DiffersVisibly(record, entry.record);
   entry.record = std::move(record);
   entry.cold_until = cold_until;
-  entry.heard = now;
-  if (tell) {
-    entry.changed = ++this->newest;
-    this->SettleAddress(entry.record.id, now);
+  entry.last_update = now;
+  if (is_visible_change) {
+    entry.changed = ++this->newest_revision;
+    this->ResolveAddressConflict(entry.record.id, now);
   }
   return true;
 }
@@ -56,12 +57,12 @@
 // Of two targets at one address the one that started later is there: addresses
 // of crashed targets are given to other services, and late announcements still
 // name the first.
-void TargetRegistry::SettleAddress(const TargetId& id, TimePoint) {
+void TargetRegistry::ResolveAddressConflict(const TargetId& id, TimePoint) {
   Entry& entry = this->entries.at(id);
   if (entry.record.phase == TargetPhase::kGone) {
     return;
   }
-  TargetId& holder = this->by_address[Key(entry.record.address)];
+  TargetId& holder = this->by_address[AddressKey(entry.record.address)];
   const auto other = this->entries.find(holder);
   if (holder != id && other != this->entries.end() &&
       other->second.record.address == entry.record.address &&
@@ -80,84 +81,84 @@
 
 void TargetRegistry::MarkGone(Entry& entry) {
   entry.record.phase = TargetPhase::kGone;
-  entry.changed = ++this->newest;
+  entry.changed = ++this->newest_revision;
 }
 
 AnnounceResult TargetRegistry::Announce(TargetRecord record, TimePoint now) {
-  const auto known = this->entries.find(record.id);
-  if (known == this->entries.end() &&
+  const auto found = this->entries.find(record.id);
+  if (found == this->entries.end() &&
       this->entries.size() >= this->options.max_targets) {
     return AnnounceResult::kFull;
   }
-  record.heard_by = this->options.self;
-  return this->Take(std::move(record), now) ? AnnounceResult::kTaken
-                                            : AnnounceResult::kOutdated;
+  record.heartbeat_receiver = this->options.self;
+  return this->Apply(std::move(record), now) ? AnnounceResult::kAccepted
+                                             : AnnounceResult::kOutdated;
 }
 
-void TargetRegistry::SignOff(const TargetId& id,
-                             uint64_t started_ms,
-                             uint64_t sequence,
-                             TimePoint now) {
-  const auto known = this->entries.find(id);
-  if (known == this->entries.end()) {
+void TargetRegistry::Deregister(const TargetId& id,
+                                uint64_t started_ms,
+                                uint64_t sequence,
+                                TimePoint now) {
+  const auto found = this->entries.find(id);
+  if (found == this->entries.end()) {
     return;
   }
-  Entry& entry = known->second;
+  Entry& entry = found->second;
   if (started_ms != 0 && started_ms < entry.record.started_ms) {
     return;
   }
   entry.record.started_ms = std::max(entry.record.started_ms, started_ms);
   entry.record.sequence = std::max(entry.record.sequence, sequence);
-  entry.heard = now;
+  entry.last_update = now;
   if (entry.record.phase != TargetPhase::kGone) {
     this->MarkGone(entry);
   }
 }
 
 void TargetRegistry::Merge(TargetRecord record, TimePoint now) {
-  const auto known = this->entries.find(record.id);
-  if (known == this->entries.end()) {
+  const auto found = this->entries.find(record.id);
+  if (found == this->entries.end()) {
     if (this->entries.size() < this->options.max_targets) {
-      this->Take(std::move(record), now);
+      this->Apply(std::move(record), now);
     }
     return;
   }
-  const TargetPhase told = record.phase;
-  const HostId told_by = record.heard_by;
-  if (this->Take(std::move(record), now)) {
+  const TargetPhase received_phase = record.phase;
+  const HostId received_receiver = record.heartbeat_receiver;
+  if (this->Apply(std::move(record), now)) {
     return;
   }
   // Heartbeats that change nothing aren't passed on. If another control host
   // tells otherwise of a target that is heard here, this host tells of it
   // again.
-  Entry& entry = known->second;
-  const bool is_own = entry.record.heard_by == this->options.self;
-  if (is_own &&
-      (told != entry.record.phase || told_by != entry.record.heard_by)) {
-    entry.changed = ++this->newest;
+  Entry& entry = found->second;
+  const bool is_own = entry.record.heartbeat_receiver == this->options.self;
+  if (is_own && (received_phase != entry.record.phase ||
+                 received_receiver != entry.record.heartbeat_receiver)) {
+    entry.changed = ++this->newest_revision;
   }
 }
 
 void TargetRegistry::Sweep(const std::function<bool(const HostId&)>& is_live,
                            TimePoint now) {
   for (auto& [id, entry] : this->entries) {
-    const bool is_own = entry.record.heard_by == this->options.self;
+    const bool is_own = entry.record.heartbeat_receiver == this->options.self;
     if (entry.record.phase != TargetPhase::kServing ||
-        (!is_own && is_live(entry.record.heard_by))) {
+        (!is_own && is_live(entry.record.heartbeat_receiver))) {
       continue;
     }
     // A dead control host's targets get time to find another one.
     const Duration allowed = this->options.silent_after * (is_own ? 1 : 2);
-    if (now - entry.heard > allowed) {
+    if (now - entry.last_update > allowed) {
       entry.record.phase = TargetPhase::kSilent;
-      entry.changed = ++this->newest;
+      entry.changed = ++this->newest_revision;
     }
   }
   std::erase_if(this->entries, [&](const auto& item) {
     const Entry& entry = item.second;
-    const bool is_over = entry.record.phase == TargetPhase::kGone ||
-                         entry.record.phase == TargetPhase::kSilent;
-    return is_over && now - entry.heard > this->options.forget_after;
+    const bool is_ended = entry.record.phase == TargetPhase::kGone ||
+                          entry.record.phase == TargetPhase::kSilent;
+    return is_ended && now - entry.last_update > this->options.forget_after;
   });
   std::erase_if(this->by_address, [&](const auto& item) {
     return !this->entries.contains(item.second);
--- a/knapweedroad/registry/target_registry.h
+++ b/knapweedroad/registry/target_registry.h
@@ -31,7 +31,7 @@
 
 // What became of an announcement.
 enum class AnnounceResult : uint8_t {
-  kTaken,
+  kAccepted,
   kOutdated,  // newer knowledge is held; nothing changed
   kFull,
 };
@@ -45,10 +45,10 @@
 
   // The target signs off. `started_ms` and `sequence` are zero where it
   // doesn't say: then its life that is known here ends.
-  void SignOff(const TargetId& id,
-               uint64_t started_ms,
-               uint64_t sequence,
-               TimePoint now);
+  void Deregister(const TargetId& id,
+                  uint64_t started_ms,
+                  uint64_t sequence,
+                  TimePoint now);
 
   // Another control host passed this on.
   void Merge(TargetRecord record, TimePoint now);
@@ -58,7 +58,7 @@
   void Sweep(const std::function<bool(const HostId&)>& is_live, TimePoint now);
 
   // Rises with each change that others must hear of.
-  uint64_t revision() const { return this->newest; }
+  uint64_t revision() const { return this->newest_revision; }
 
   // Records that changed after `revision`; 0 gives all.
   std::vector<TargetRecord> ChangedSince(uint64_t revision,
@@ -83,19 +83,19 @@
   struct Entry {
     TargetRecord record;
     TimePoint cold_until;
-    TimePoint heard;
+    TimePoint last_update;
     uint64_t changed = 0;
   };
 
-  bool Take(TargetRecord record, TimePoint now);
-  void SettleAddress(const TargetId& id, TimePoint now);
+  bool Apply(TargetRecord record, TimePoint now);
+  void ResolveAddressConflict(const TargetId& id, TimePoint now);
   void MarkGone(Entry& entry);
 
   TargetRegistryOptions options;
   std::unordered_map<TargetId, Entry> entries;
   // Which target was last known at an address.
   std::unordered_map<std::string, TargetId> by_address;
-  uint64_t newest = 0;
+  uint64_t newest_revision = 0;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/target_registry_test.cc
+++ b/knapweedroad/registry/target_registry_test.cc
@@ -27,7 +27,8 @@
 // A target crashes and starts again under its id. An announcement of its first
 // life, held up by a cut, comes last. Taken as it comes it would bring back
 // what the first life said, here that it leaves, and nobody would use it.
-Test(target_registry, a_late_announcement_of_a_former_life_changes_nothing) {
+Test(target_registry,
+     late_announcement_of_an_earlier_incarnation_changes_nothing) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("t", 2000, 1), kStart);
   TargetRecord late = Record("t", 1000, 55);
@@ -39,7 +40,7 @@
 // A crashed target's address goes to a target of another service. A late
 // announcement names the first one there: requests would be sent to it and run
 // by the wrong service.
-Test(target_registry, of_two_targets_at_an_address_the_later_start_is_there) {
+Test(target_registry, target_that_started_later_takes_over_an_address) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("old", 1000, 5), kStart);
   TargetRecord next = Record("new", 3000, 1);
@@ -53,10 +54,10 @@
 
 // A target signs off and serves on for a while; a heartbeat that was under way
 // arrives after that. Taken for news it would get requests when it is gone.
-Test(target_registry, a_target_that_signed_off_comes_back_only_as_a_new_life) {
+Test(target_registry, deregistered_target_returns_only_as_a_new_incarnation) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("t", 1000, 5), kStart);
-  registry.SignOff(TargetId("t"), 0, 0, kStart);
+  registry.Deregister(TargetId("t"), 0, 0, kStart);
   registry.Announce(Record("t", 1000, 6), kStart);
   cr_expect(PhaseOf(registry, "t") == TargetPhase::kGone);
   registry.Announce(Record("t", 4000, 1), kStart);
@@ -64,7 +65,7 @@
 }
 
 // Two control hosts hear of the same target in different order.
-Test(target_registry, merged_records_end_up_the_same_in_any_order) {
+Test(target_registry, merge_result_does_not_depend_on_order) {
   TargetRecord leaving = Record("t", 1000, 9);
   leaving.phase = TargetPhase::kLeaving;
   for (const bool leaving_first : {false, true}) {
@@ -75,7 +76,7 @@
   }
 }
 
-Test(target_registry, followers_hear_of_changes_and_not_of_heartbeats) {
+Test(target_registry, revision_rises_with_changes_and_not_with_heartbeats) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("t", 1000, 1), kStart);
   const uint64_t revision = registry.revision();
@@ -85,13 +86,14 @@
   cold.cold_left = seconds(3);
   registry.Announce(cold, kStart + seconds(2));
   cr_expect(registry.revision() > revision);
-  const auto news = registry.ChangedSince(revision, kStart + seconds(3));
-  cr_assert(news.size() == 1);
-  cr_expect(news[0].cold_left == seconds(2));
+  const auto changed = registry.ChangedSince(revision, kStart + seconds(3));
+  cr_assert(changed.size() == 1);
+  cr_expect(changed[0].cold_left == seconds(2));
 }
 
 // A target crashes: its heartbeats stop, and it says nothing.
-Test(target_registry, a_target_without_heartbeats_is_silent_then_forgotten) {
+Test(target_registry,
+     target_without_heartbeats_becomes_silent_then_is_dropped) {
   TargetRegistry registry({.self = HostId("c"),
                            .silent_after = seconds(4),
                            .forget_after = seconds(60)});
@@ -110,10 +112,10 @@
 
 // The control host that hears a target dies. The target turns to another one
 // within a few heartbeats; until then nothing is known against it.
-Test(target_registry, targets_of_a_dead_control_host_get_time_to_move) {
+Test(target_registry, targets_of_a_failed_control_host_get_time_to_move) {
   TargetRegistry registry({.self = HostId("c"), .silent_after = seconds(4)});
   TargetRecord record = Record("t", 1000, 1);
-  record.heard_by = HostId("dead");
+  record.heartbeat_receiver = HostId("dead");
   registry.Merge(record, kStart);
   const auto none_live = [](const HostId&) { return false; };
   registry.Sweep(none_live, kStart + seconds(6));
@@ -125,30 +127,32 @@
 // One control host is cut off from the others for some seconds. They take its
 // targets for silent; after the cut it hears them as ever, so it has nothing
 // to tell, and for minutes nobody uses targets that serve well.
-Test(target_registry, the_hearer_corrects_what_others_took_for_silent) {
-  TargetRegistry hearer({.self = HostId("a"), .silent_after = seconds(4)});
+Test(target_registry,
+     heartbeat_receiver_corrects_records_that_others_marked_silent) {
+  TargetRegistry receiver({.self = HostId("a"), .silent_after = seconds(4)});
   TargetRegistry other({.self = HostId("b"), .silent_after = seconds(4)});
-  hearer.Announce(Record("t", 1000, 1), kStart);
-  other.Merge(hearer.ChangedSince(0, kStart)[0], kStart);
-  const uint64_t followed = hearer.revision();
+  receiver.Announce(Record("t", 1000, 1), kStart);
+  other.Merge(receiver.ChangedSince(0, kStart)[0], kStart);
+  const uint64_t followed_revision = receiver.revision();
   other.Sweep([](const HostId&) { return false; }, kStart + seconds(9));
   cr_assert(PhaseOf(other, "t") == TargetPhase::kSilent);
-  hearer.Announce(Record("t", 1000, 9), kStart + seconds(10));
-  hearer.Merge(other.ChangedSince(0, kStart)[0], kStart + seconds(10));
-  const auto news = hearer.ChangedSince(followed, kStart + seconds(10));
-  cr_assert(news.size() == 1);
-  other.Merge(news[0], kStart + seconds(10));
+  receiver.Announce(Record("t", 1000, 9), kStart + seconds(10));
+  receiver.Merge(other.ChangedSince(0, kStart)[0], kStart + seconds(10));
+  const auto changed =
+      receiver.ChangedSince(followed_revision, kStart + seconds(10));
+  cr_assert(changed.size() == 1);
+  other.Merge(changed[0], kStart + seconds(10));
   cr_expect(PhaseOf(other, "t") == TargetPhase::kServing);
 }
 
-Test(target_registry, a_flood_of_ids_ends_at_the_bound) {
+Test(target_registry, number_of_targets_is_bounded) {
   TargetRegistry registry({.self = HostId("c"), .max_targets = 2});
   registry.Announce(Record("a", 1, 1), kStart);
   registry.Announce(Record("b", 1, 1), kStart);
   cr_expect(registry.Announce(Record("c", 1, 1), kStart) ==
             AnnounceResult::kFull);
   cr_expect(registry.Announce(Record("b", 1, 2), kStart) ==
-            AnnounceResult::kTaken);
+            AnnounceResult::kAccepted);
 }
 
 }  // namespace
--- a/knapweedroad/registry/told_list.h
+++ b/knapweedroad/registry/versioned_list.h
@@ -13,8 +13,8 @@
 // time: told whole with each change their bytes grow with the square of the
 // hosts.
 
-#ifndef KNAPWEEDROAD_REGISTRY_TOLD_LIST_H_
-#define KNAPWEEDROAD_REGISTRY_TOLD_LIST_H_
+#ifndef KNAPWEEDROAD_REGISTRY_VERSIONED_LIST_H_
+#define KNAPWEEDROAD_REGISTRY_VERSIONED_LIST_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -27,25 +27,25 @@
 
 // Items are told from each other by KeyOf(item), found beside their type.
 template <typename Item, typename Key>
-struct ListNews {
+struct ListDelta {
   // Whether `put` is the whole list, and not what is new or different in it.
-  bool is_whole = false;
-  std::vector<Item> put;
-  std::vector<Key> gone;
+  bool is_full = false;
+  std::vector<Item> upserted;
+  std::vector<Key> removed;
 
-  friend bool operator==(const ListNews&, const ListNews&) = default;
+  friend bool operator==(const ListDelta&, const ListDelta&) = default;
 
   // For cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(this->is_whole, this->put, this->gone);
+    archive(this->is_full, this->upserted, this->removed);
   }
 };
 
 template <typename Item, typename Key>
-class ToldList {
+class VersionedList {
  public:
-  using News = ListNews<Item, Key>;
+  using Delta = ListDelta<Item, Key>;
 
   // `items`, no two with one key, is the list as of `revision`, which rises
   // with each call.
@@ -55,19 +55,19 @@
       Key key = KeyOf(item);
       next.emplace(std::move(key), std::move(item));
     }
-    this->Remember(this->Difference(next), revision);
+    this->RecordStep(this->ComputeDelta(next), revision);
     this->list = std::move(next);
     this->newest = revision;
   }
 
   // What a host that has the list of `revision` is to hear: all, where that is
   // zero or isn't known any more.
-  News Since(uint64_t revision) const {
-    if (revision == 0 || revision < this->known_from ||
+  Delta DeltaSince(uint64_t revision) const {
+    if (revision == 0 || revision < this->oldest_revision ||
         revision > this->newest) {
-      return {.is_whole = true, .put = this->items()};
+      return {.is_full = true, .upserted = this->items()};
     }
-    return revision == this->newest ? News() : this->Gather(revision);
+    return revision == this->newest ? Delta() : this->MergeSteps(revision);
   }
 
   std::vector<Item> items() const {
@@ -82,88 +82,89 @@
  private:
   struct Step {
     uint64_t revision = 0;
-    News news;
+    Delta delta;
   };
 
   // Over all steps that are remembered. A host that lags more gets it all.
-  static constexpr size_t kMostChanges = 2000;
+  static constexpr size_t kMaxRetainedChanges = 2000;
 
-  News Difference(const std::map<Key, Item>& next) const {
-    News news;
+  Delta ComputeDelta(const std::map<Key, Item>& next) const {
+    Delta delta;
     for (const auto& [key, item] : next) {
-      const auto held = this->list.find(key);
-      if (held == this->list.end() || !(held->second == item)) {
-        news.put.push_back(item);
+      const auto current = this->list.find(key);
+      if (current == this->list.end() || !(current->second == item)) {
+        delta.upserted.push_back(item);
       }
     }
     for (const auto& [key, item] : this->list) {
       if (!next.contains(key)) {
-        news.gone.push_back(key);
+        delta.removed.push_back(key);
       }
     }
-    return news;
+    return delta;
   }
 
-  void Remember(News news, uint64_t revision) {
-    this->changes += SizeOf(news);
-    this->steps.push_back({.revision = revision, .news = std::move(news)});
-    while (this->changes > kMostChanges && !this->steps.empty()) {
-      this->changes -= SizeOf(this->steps.front().news);
-      this->known_from = this->steps.front().revision;
+  void RecordStep(Delta delta, uint64_t revision) {
+    this->retained_changes += SizeOf(delta);
+    this->steps.push_back({.revision = revision, .delta = std::move(delta)});
+    while (this->retained_changes > kMaxRetainedChanges &&
+           !this->steps.empty()) {
+      this->retained_changes -= SizeOf(this->steps.front().delta);
+      this->oldest_revision = this->steps.front().revision;
       this->steps.pop_front();
     }
   }
 
   // Of each key only the last that was told.
-  News Gather(uint64_t revision) const {
+  Delta MergeSteps(uint64_t revision) const {
     std::map<Key, bool> touched;
     for (const Step& step : this->steps) {
       if (step.revision <= revision) {
         continue;
       }
-      for (const Item& item : step.news.put) {
+      for (const Item& item : step.delta.upserted) {
         touched[KeyOf(item)] = true;
       }
-      for (const Key& key : step.news.gone) {
+      for (const Key& key : step.delta.removed) {
         touched[key] = true;
       }
     }
-    News news;
+    Delta delta;
     for (const auto& [key, is_touched] : touched) {
-      const auto held = this->list.find(key);
-      if (held == this->list.end()) {
-        news.gone.push_back(key);
+      const auto current = this->list.find(key);
+      if (current == this->list.end()) {
+        delta.removed.push_back(key);
       } else {
-        news.put.push_back(held->second);
+        delta.upserted.push_back(current->second);
       }
     }
-    return news;
+    return delta;
   }
 
-  static size_t SizeOf(const News& news) {
-    return 1 + news.put.size() + news.gone.size();
+  static size_t SizeOf(const Delta& delta) {
+    return 1 + delta.upserted.size() + delta.removed.size();
   }
 
   std::map<Key, Item> list;
   uint64_t newest = 0;
   // Steps are remembered from this revision on.
-  uint64_t known_from = 0;
+  uint64_t oldest_revision = 0;
   std::deque<Step> steps;
-  size_t changes = 0;
+  size_t retained_changes = 0;
 };
 
 template <typename Item, typename Key>
-class HeardList {
+class ListReplica {
  public:
-  void Take(ListNews<Item, Key> news) {
-    if (news.is_whole) {
+  void Apply(ListDelta<Item, Key> delta) {
+    if (delta.is_full) {
       this->list.clear();
     }
-    for (Item& item : news.put) {
+    for (Item& item : delta.upserted) {
       Key key = KeyOf(item);
       this->list.insert_or_assign(std::move(key), std::move(item));
     }
-    for (const Key& key : news.gone) {
+    for (const Key& key : delta.removed) {
       this->list.erase(key);
     }
   }
@@ -183,4 +184,4 @@
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_REGISTRY_TOLD_LIST_H_
+#endif  // KNAPWEEDROAD_REGISTRY_VERSIONED_LIST_H_
--- a/knapweedroad/registry/watch_messages.h
+++ b/knapweedroad/registry/watch_messages.h
@@ -14,7 +14,7 @@
 #include "knapweedroad/registry/entry_host_record.h"
 #include "knapweedroad/registry/target_outcomes.h"
 #include "knapweedroad/registry/target_record.h"
-#include "knapweedroad/registry/told_list.h"
+#include "knapweedroad/registry/versioned_list.h"
 
 namespace knapweedroad {
 
@@ -37,8 +37,8 @@
   // What the follower has of the list of outliers, and whether it was
   // told that the zone is cut off.
   uint64_t outliers_revision = 0;
-  bool knows_cut_off = false;
-  bool knows_hears_all = false;
+  bool received_is_cut_off = false;
+  bool received_has_full_view = false;
   // What it has seen since its last call.
   std::vector<TargetOutcomes> outcomes;
 
@@ -48,8 +48,8 @@
     archive(this->follower, this->role, this->zone, this->peer_address.ip,
             this->peer_address.port, this->epoch, this->revision,
             this->hosts_revision, this->agreed_version, this->shares_outcomes,
-            this->outliers_revision, this->knows_cut_off, this->knows_hears_all,
-            this->outcomes);
+            this->outliers_revision, this->received_is_cut_off,
+            this->received_has_full_view, this->outcomes);
   }
 };
 
@@ -81,18 +81,18 @@
   std::vector<ControlHostRecord> control_hosts;
   // For control hosts the entry hosts that follow this control host itself, for
   // entry hosts all that it has heard of.
-  ListNews<EntryHostRecord, HostId> entry_hosts;
+  ListDelta<EntryHostRecord, HostId> entry_hosts;
   // Whether this control host has lost those of all other zones.
   bool is_cut_off = false;
   // Whether it hears all other control hosts, so that its news is whole.
-  bool hears_all = false;
+  bool has_full_view = false;
   // Whether a quorum of the replicas answers it.
   bool has_quorum = false;
   // Absent where the follower has this list, or doesn't share outcomes. For
   // entry hosts all that is listed; for control hosts what this zone has seen.
   bool has_outliers = false;
   uint64_t outliers_revision = 0;
-  ListNews<TargetOutlier, TargetId> outliers;
+  ListDelta<TargetOutlier, TargetId> outliers;
 
   // For cereal.
   template <typename Archive>
@@ -100,7 +100,7 @@
     archive(this->zone, this->epoch, this->revision, this->hosts_revision,
             this->agreed_version, this->targets, this->has_hosts,
             this->control_hosts, this->entry_hosts, this->is_cut_off,
-            this->hears_all, this->has_quorum, this->has_outliers,
+            this->has_full_view, this->has_quorum, this->has_outliers,
             this->outliers_revision, this->outliers);
   }
 };
