--- a/knapweedroad/registry/agreed_state.cc
+++ b/knapweedroad/registry/agreed_state.cc
@@ -8,7 +8,7 @@
 namespace knapweedroad {
 namespace {
 
-// The layout of a state without roll-outs, as it was before there were any.
+// The encoded layout that predates rollouts.
 struct StateWithoutRollouts {
   uint64_t number = 0;
   std::string text;
@@ -23,8 +23,9 @@
 
 }  // namespace
 
-// A state without roll-outs keeps the older layout: control hosts that are
-// being upgraded read each other's values until the first roll-out.
+// A state without rollouts is encoded in the older layout, so that control
+// hosts of both versions can read each other's values during an upgrade until
+// the first rollout.
 std::string EncodeAgreedState(const AgreedState& state) {
   if (!state.rollouts.empty()) {
     return Pack(EncodeBytes(state));
--- a/knapweedroad/registry/agreed_state.h
+++ b/knapweedroad/registry/agreed_state.h
@@ -1,8 +1,9 @@
-// What control hosts agree on for hosts that route by numbered configurations:
-// the newest one, which zones are out, and the roll-outs of new versions.
+// The state that control hosts replicate for hosts that route by numbered
+// configurations: the newest configuration, the zones taken out of service, and
+// the rollouts of new versions.
 //
 //   auto state = DecodeAgreedState(control_value.configuration);
-//   auto next = PutIfNewer(*state, {.number = 9, .text = text});
+//   PutIfNewer(*state, 9, text);
 
 #ifndef KNAPWEEDROAD_REGISTRY_AGREED_STATE_H_
 #define KNAPWEEDROAD_REGISTRY_AGREED_STATE_H_
@@ -20,13 +21,14 @@
 namespace knapweedroad {
 
 struct AgreedState {
-  // The operators' number of `text`; zero: none was put yet.
+  // The number that operators gave to `text`. Zero if no configuration was
+  // submitted yet.
   uint64_t number = 0;
-  // The routing configuration, to the byte as it was put.
+  // The routing configuration, byte for byte as submitted.
   std::string text;
-  // Zones whose targets get nothing, in order.
+  // Sorted. Targets of these zones receive no requests.
   std::vector<ZoneId> zones_out;
-  // One a service, the newest, in order of services.
+  // The newest rollout of each service, sorted by service.
   std::vector<RolloutRecord> rollouts;
 
   friend bool operator==(const AgreedState&, const AgreedState&) = default;
@@ -40,16 +42,17 @@
 
 std::string EncodeAgreedState(const AgreedState& state);
 
-// An empty text is the state before the first change; the error says that the
-// bytes are something else.
+// Returns the initial state if `bytes` is empty. Returns an error message if
+// `bytes` is not an encoded state.
 tl::expected<AgreedState, std::string> DecodeAgreedState(
     std::string_view bytes);
 
-// Makes `text` the newest unless a configuration of that number or a higher
-// one is held; a resend changes nothing.
+// Stores `text` if `number` is higher than the stored number; otherwise changes
+// nothing, so that a retransmission is harmless.
 void PutIfNewer(AgreedState& state, uint64_t number, std::string_view text);
 
-// Takes the zone out, or back in; a resend changes nothing.
+// Takes the zone out of service, or returns it to service. A repeated call
+// changes nothing.
 void SetZoneOut(AgreedState& state, const ZoneId& zone, bool is_out);
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/agreed_state_test.cc
+++ b/knapweedroad/registry/agreed_state_test.cc
@@ -5,8 +5,8 @@
 namespace knapweedroad {
 namespace {
 
-// An operator's resend of an old configuration arrives after a newer one. Put
-// in force it would bring back routes that were dropped.
+// Guards against a retransmitted old configuration that arrives after a newer
+// one and would restore removed routes.
 Test(agreed_state, lower_or_equal_number_changes_nothing) {
   AgreedState state;
   PutIfNewer(state, 7, "seven");
@@ -36,7 +36,7 @@
   cr_expect(!DecodeAgreedState("something else").has_value());
 }
 
-// Guards against a roll-out that is forgotten with the loss of all processes.
+// Guards against a rollout that is lost when all processes restart.
 Test(agreed_state, rollouts_round_trip) {
   const AgreedState state{.number = 3,
                           .text = "text",
@@ -51,8 +51,8 @@
   cr_expect(DecodeAgreedState(EncodeAgreedState(state)) == state);
 }
 
-// Guards against control hosts that can't read each other's values while they
-// are upgraded one by one.
+// Guards against control hosts that can't read each other's values during a
+// rolling upgrade.
 Test(agreed_state, encoding_without_rollouts_keeps_the_older_layout) {
   AgreedState state{.number = 3, .text = "text"};
   const std::string older = EncodeAgreedState(state);
--- a/knapweedroad/registry/announcement_redirect.h
+++ b/knapweedroad/registry/announcement_redirect.h
@@ -1,6 +1,6 @@
-// Which control host a target had better announce itself to.
+// Chooses the control host to which a target should send its announcements.
 //
-//   if (const auto host = NearerControlHost(live, {.zone = own, ...})) ...
+//   const auto host = FindControlHostInZone(live, {.zone = zone, ...});
 
 #ifndef KNAPWEEDROAD_REGISTRY_ANNOUNCEMENT_REDIRECT_H_
 #define KNAPWEEDROAD_REGISTRY_ANNOUNCEMENT_REDIRECT_H_
@@ -14,16 +14,18 @@
 namespace knapweedroad {
 
 struct AnnouncementOrigin {
-  // Of the control host that the target has reached.
+  // The zone of the control host that the target contacted.
   ZoneId contacted_zone;
-  // Of the target, and its id, by which its zone's hosts share the targets.
+  // The target's own zone, and its id, whose hash spreads the targets over the
+  // control hosts of the zone.
   ZoneId zone;
   TargetId target;
 };
 
-// A control host of the target's own zone. Nothing where it has reached one
-// already, or none is heard. Announcements come about once a second for ever,
-// and bytes between zones are paid for.
+// Returns a control host of the target's own zone. Returns nothing if the
+// contacted control host is in that zone already, or if the zone has no live
+// control host. A target announces itself about once a second for its whole
+// lifetime, and traffic between zones is billed.
 std::optional<HostId> FindControlHostInZone(
     std::span<const ControlHostRecord> live,
     const AnnouncementOrigin& origin);
--- a/knapweedroad/registry/announcement_redirect_test.cc
+++ b/knapweedroad/registry/announcement_redirect_test.cc
@@ -16,8 +16,8 @@
                                               {HostId("c2"), kB},
                                               {HostId("c3"), kB}};
 
-// Guards against announcements that cross between zones for as long as a target
-// lives because it reached another zone's control host first.
+// Guards against targets that contact a control host of another zone first and
+// send announcements across zones for their whole lifetime.
 Test(announcement_redirect,
      targets_are_redirected_to_control_hosts_of_their_zone) {
   std::set<HostId> chosen;
--- a/knapweedroad/registry/control_host_partition_test.cc
+++ b/knapweedroad/registry/control_host_partition_test.cc
@@ -33,8 +33,8 @@
   }
 }
 
-// Guards against entry hosts that follow a cut off control host alone, and go
-// by an old configuration until the cut heals.
+// Guards against entry hosts that follow only a partitioned control host and
+// use an old configuration until the partition heals.
 Test(control_host_partition, isolated_host_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   const TimePoint partition_start = kStart + seconds(10);
@@ -48,8 +48,8 @@
   }
 }
 
-// Guards against the same after a restart inside the cut: the new process has
-// never heard the others.
+// Guards against the same fault after a restart during the partition: the new
+// process has never reached the others.
 Test(control_host_partition, host_that_starts_isolated_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   for (int second = 1; second <= 60; ++second) {
@@ -59,7 +59,8 @@
   }
 }
 
-// Guards against the same in a minority of two that hear each other.
+// Guards against the same fault in a minority of two hosts that reach each
+// other.
 Test(control_host_partition, minority_never_has_a_full_view) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   const TimePoint partition_start = kStart + seconds(10);
@@ -73,8 +74,8 @@
   cr_expect(not table.HasFullView(partition_start + seconds(60)));
 }
 
-// Guards against hosts that never follow one control host alone again after a
-// cut has healed.
+// Guards against hosts that keep following several control hosts after a
+// partition has healed.
 Test(control_host_partition, full_view_returns_after_the_partition) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   const TimePoint partition_start = kStart + seconds(10);
--- a/knapweedroad/registry/control_host_selection.h
+++ b/knapweedroad/registry/control_host_selection.h
@@ -1,6 +1,7 @@
-// Which control hosts a host follows.
+// Selects the control hosts that a host follows.
 //
-//   std::vector<HostId> followed = PlanFollowing(known, {.zone = zone});
+//   std::vector<HostId> selected = SelectControlHosts(candidates, {.zone =
+//   zone});
 
 #ifndef KNAPWEEDROAD_REGISTRY_CONTROL_HOST_SELECTION_H_
 #define KNAPWEEDROAD_REGISTRY_CONTROL_HOST_SELECTION_H_
@@ -14,37 +15,39 @@
 
 namespace knapweedroad {
 
-// What a follower knows of one control host.
+// The state of one control host, as a follower sees it.
 struct ControlHostCandidate {
   HostId host;
-  // Empty: not heard yet.
+  // Empty until the host responds or is mentioned.
   ZoneId zone;
   bool is_live = false;
   bool failed_recently = false;
-  // It says that it hears all other control hosts, so that its news is whole.
+  // Its last reply reported that it reaches all other control hosts, so that
+  // its information is complete.
   bool has_full_view = false;
-  // It says that a quorum of the replicas answers it.
+  // Its last reply reported that a quorum of the replicas answers it.
   bool has_quorum = false;
-  // Orders candidates that are alike, differently on each follower.
+  // Orders otherwise equal candidates; differs between followers.
   uint64_t rank = 0;
 };
 
 struct ControlHostSelectionOptions {
-  // Control hosts of this zone come first.
+  // Control hosts of this zone are preferred.
   ZoneId zone;
-  // Followed at a time while none is fit to be the only one.
+  // The maximum number of hosts selected while no single one suffices.
   size_t max_selected = 3;
-  // The same while none of them has a quorum: those that are cut off together
-  // may come first in the order.
+  // The maximum while none of the selected hosts has a quorum. Hosts of one
+  // partitioned minority may be the most preferred ones.
   size_t max_selected_without_quorum = 3;
 };
 
-// In order of preference. One that hears all others is enough; those that are
-// preferred to it are tried again and again. Where none of them has a quorum,
-// one that has is followed as well.
+// Returns the selected hosts in order of preference. The selection ends at the
+// first live host that has a full view; preferred hosts before it are selected
+// too and so are retried. If none of the selected hosts has a quorum, the first
+// live candidate that has one is added.
 //
-// One control host of the own zone is enough while it hears all others:
-// following several brings each change as often, most of it between zones.
+// One control host of the own zone is enough while it has a full view:
+// following several delivers each change several times, mostly across zones.
 std::vector<HostId> SelectControlHosts(
     std::span<const ControlHostCandidate> candidates,
     const ControlHostSelectionOptions& options);
--- a/knapweedroad/registry/control_host_selection_test.cc
+++ b/knapweedroad/registry/control_host_selection_test.cc
@@ -7,7 +7,7 @@
 namespace knapweedroad {
 namespace {
 
-// Six control hosts, one in each of the zones a to f, all well.
+// Returns six healthy control hosts, one in each of the zones a to f.
 std::vector<ControlHostCandidate> SixZoneCandidates() {
   std::vector<ControlHostCandidate> candidates;
   for (int i = 0; i < 6; ++i) {
@@ -27,14 +27,14 @@
   return SelectControlHosts(candidates, {.zone = ZoneId(zone)});
 }
 
-// Guards against every change crossing to each host from other zones.
+// Guards against every change being sent to each host from other zones.
 Test(control_host_selection, control_host_of_the_own_zone_suffices) {
   const std::vector<HostId> selected = SelectIn("d", SixZoneCandidates());
   cr_expect(selected == std::vector{HostId("control-d")});
 }
 
-// Guards against a host that hears nothing while its zone's control host is
-// down.
+// Guards against a host that receives no updates while its zone's control host
+// is down.
 Test(control_host_selection,
      control_host_of_another_zone_suffices_while_the_own_is_down) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
@@ -45,7 +45,7 @@
   cr_expect(selected.front() != HostId("control-d"));
 }
 
-// Guards against a host that stays with another zone's control host for good.
+// Guards against a host that permanently follows another zone's control host.
 Test(control_host_selection, control_host_of_the_own_zone_is_retried) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
   candidates[3].is_live = false;
@@ -54,8 +54,8 @@
   cr_expect(selected.front() == HostId("control-d"));
 }
 
-// Guards against stale news: the own zone's control host is cut off from
-// others, whose targets it no longer hears of, but not from its entry hosts.
+// Guards against stale information when the control host of the own zone is
+// partitioned from other control hosts but not from its entry hosts.
 Test(control_host_selection,
      control_host_without_a_full_view_does_not_suffice) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
@@ -67,8 +67,8 @@
   cr_expect(SelectIn("d", candidates).size() == 3);
 }
 
-// Guards against entry hosts that go by an old configuration because those that
-// they follow are cut off from the majority together.
+// Guards against entry hosts that use an old configuration because all control
+// hosts they follow are in one minority.
 Test(control_host_selection, preferred_minority_does_not_hide_the_majority) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
   candidates.push_back({.host = HostId("control-g"),
@@ -79,7 +79,7 @@
     candidate.has_full_view = false;
     candidate.has_quorum = true;
   }
-  // The own zone's, and the first two by rank.
+  // The control host of the own zone, and the first two by rank.
   for (const int minority : {3, 6, 5}) {
     candidates[minority].has_quorum = false;
   }
@@ -91,14 +91,14 @@
   cr_expect(selected.back() == HostId("control-e"));
 }
 
-// Guards against entry hosts that lose the majority's news again as soon as
-// they have found it.
+// Guards against entry hosts that drop the majority again as soon as they find
+// it.
 Test(control_host_selection, control_host_with_a_quorum_stays_selected) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
   for (ControlHostCandidate& candidate : candidates) {
     candidate.has_full_view = false;
   }
-  // The last in order.
+  // The least preferred candidate.
   candidates[0].has_quorum = true;
   const std::vector<HostId> selected =
       SelectControlHosts(candidates, {.zone = ZoneId("d"),
@@ -121,7 +121,7 @@
                 .size() == 4);
 }
 
-// Guards against a start at which the only one followed is down.
+// Guards against a start at which the only selected control host is down.
 Test(control_host_selection, several_are_selected_until_one_has_answered) {
   std::vector<ControlHostCandidate> candidates = SixZoneCandidates();
   for (ControlHostCandidate& candidate : candidates) {
--- a/knapweedroad/registry/control_host_table.cc
+++ b/knapweedroad/registry/control_host_table.cc
@@ -9,18 +9,18 @@
 namespace knapweedroad {
 namespace {
 
-// A control host that failed is tried again after this long, and another one
-// is followed meanwhile.
+// A failed control host is retried after this time; another one is followed
+// meanwhile.
 constexpr Duration kFailureBackoff = std::chrono::milliseconds(1000);
-// A control host that hasn't answered for this long, and isn't named by
-// another, has been taken away.
+// A control host that has neither responded nor been mentioned for this long
+// has been decommissioned.
 constexpr Duration kRetention = std::chrono::seconds(90);
 constexpr Duration kLiveTimeout = std::chrono::milliseconds(2500);
-// One that nobody has heard for this long is down or has been taken away.
+// A control host that no host has seen for this long is down or decommissioned.
 constexpr Duration kMissingHostWindow = std::chrono::seconds(10);
-// A quorum is asked at least twice in this time.
+// A quorum is queried at least twice in this time.
 constexpr Duration kQuorumTimeout = std::chrono::milliseconds(2500);
-// A host that has just started hasn't heard of all others yet.
+// A host that has just started hasn't discovered all others yet.
 constexpr Duration kStartupGracePeriod = std::chrono::seconds(3);
 
 }  // namespace
@@ -132,8 +132,9 @@
   return candidate;
 }
 
-// Silence alone doesn't tell a host that has lost the others from one whose
-// others were taken away. A quorum does: it is never in a minority.
+// A missing reply alone doesn't distinguish a host that is partitioned from the
+// others from one whose peers were decommissioned. A quorum does: it is never
+// on the minority side.
 bool ControlHostTable::HasFullView(TimePoint now) const {
   if (now - this->options.started < kStartupGracePeriod ||
       !this->HasQuorum(now)) {
--- a/knapweedroad/registry/control_host_table.h
+++ b/knapweedroad/registry/control_host_table.h
@@ -1,5 +1,5 @@
-// The control hosts that one host knows: which answer it, and whether any is
-// missed.
+// Tracks the control hosts that a host has discovered: which of them respond,
+// and whether any is missing.
 //
 //   ControlHostTable table({.started = now});
 //   table.OnReply(host, reply, now);
@@ -23,7 +23,7 @@
 struct WatchReply;
 
 struct ControlHostTableOptions {
-  // Left out of all lists.
+  // The id of this host, which OnMentioned() ignores.
   HostId self;
   TimePoint started;
 };
@@ -32,38 +32,43 @@
  public:
   explicit ControlHostTable(ControlHostTableOptions options);
 
-  // The host has answered a call. True: it was not live before.
+  // Records a successful call. Returns true if the host was not responsive
+  // before.
   bool OnReply(const HostId& host, const WatchReply& reply, TimePoint now);
-  // A call to it has failed. True: it was live before.
+  // Records a failed call. Returns true if the host was responsive before.
   bool OnFailure(const HostId& host, TimePoint now);
-  // Another host has named it, or it has called this one.
+  // Records that another host lists `host` as live (OnMentioned), or that
+  // `host` called this one (OnCall).
   void OnMentioned(const HostId& host, const ZoneId& zone, TimePoint now);
   void OnCall(const HostId& host, TimePoint now);
-  // A quorum of the replicas has answered a question asked at this time.
+  // Records that a quorum of the replicas answered a query sent at this time.
   void OnQuorum(TimePoint query_sent) { this->last_quorum_query = query_sent; }
 
-  // Forgets hosts that have long been neither heard nor named.
+  // Removes hosts that have neither responded nor been mentioned for a long
+  // time.
   void Forget(TimePoint now);
 
-  // Those that have answered lately.
+  // Returns the hosts that responded recently.
   std::vector<ControlHostRecord> Live(TimePoint now) const;
-  // Those that are known and not live, as a log line names them.
+  // Returns the ids of the hosts in the table that Live() leaves out, separated
+  // by spaces, for a log line.
   std::string DescribeUnreachable(TimePoint now) const;
-  // All that are known.
+  // Returns all hosts in the table.
   std::vector<HostId> Hosts() const;
   ZoneId ZoneOf(const HostId& host) const;
-  // Whether a host of the zone answered its last call.
+  // Whether the last call to any host of the zone succeeded.
   bool HasResponsiveHost(const ZoneId& zone) const;
   bool IsResponsive(const HostId& host) const;
-  // `host` as a host to follow, but for its rank.
+  // Returns `host` as a candidate for SelectControlHosts(), without its rank.
   ControlHostCandidate Candidate(const HostId& host, TimePoint now) const;
 
-  // Whether news from this host is whole: a quorum answers it, and so does
-  // every control host that anybody has heard lately.
+  // Whether this host has complete information: a quorum answered recently, and
+  // every control host that any host saw recently responds to this one.
   bool HasFullView(TimePoint now) const;
-  // Whether a quorum has answered lately.
+  // Whether a quorum answered recently.
   bool HasQuorum(TimePoint now) const;
-  // Since the last question that a quorum has answered; nothing: never.
+  // The time since the last query that a quorum answered. Empty if there was
+  // none.
   std::optional<Duration> QuorumAge(TimePoint now) const;
 
  private:
@@ -73,7 +78,7 @@
     bool is_responsive = false;
     bool has_full_view = false;
     bool has_quorum = false;
-    // Empty: not heard yet.
+    // Empty until the host responds or is mentioned.
     ZoneId zone;
 
     bool IsLive(TimePoint now) const;
--- a/knapweedroad/registry/control_host_table_test.cc
+++ b/knapweedroad/registry/control_host_table_test.cc
@@ -23,8 +23,8 @@
   return HostId("control-" + zone);
 }
 
-// Calls among control hosts, in virtual time: each is answered several times a
-// second, and a quorum as often.
+// Simulates calls among control hosts in virtual time: each is called, and the
+// quorum queried, several times a second.
 void SimulateCalls(ControlHostTable& table,
                    const std::vector<std::string>& responsive,
                    bool has_quorum,
@@ -50,7 +50,7 @@
   return table;
 }
 
-// Guards against followers that keep to three control hosts although one is
+// Guards against followers that follow three control hosts although one is
 // enough.
 Test(control_host_table, has_a_full_view_while_all_hosts_answer) {
   const ControlHostTable table = StartedTable();
@@ -58,15 +58,15 @@
   cr_expect(table.Live(kStart + seconds(10)).size() == 3);
 }
 
-// Guards against a host that has just started and takes the few it has heard of
-// for all.
+// Guards against a host that treats the few hosts discovered right after its
+// start as all of them.
 Test(control_host_table, has_no_full_view_right_after_start) {
   ControlHostTable table({.self = kSelf, .started = kStart});
   SimulateCalls(table, kOtherZones, true, kStart, kStart + seconds(1));
   cr_expect(not table.HasFullView(kStart + seconds(1)));
 }
 
-// Guards against stale news: one host's news is missing.
+// Guards against stale information while one control host is unreachable.
 Test(control_host_table, lost_host_ends_the_full_view) {
   ControlHostTable table = StartedTable();
   SimulateCalls(table, {"a", "b"}, true, kStart + seconds(10),
@@ -75,8 +75,8 @@
   cr_expect(table.DescribeUnreachable(kStart + seconds(12)) == "control-c");
 }
 
-// Guards against a host that was taken away and makes all others follow three
-// for good.
+// Guards against a decommissioned host that makes all others follow three
+// control hosts permanently.
 Test(control_host_table, removed_host_stops_counting_as_missing) {
   ControlHostTable table = StartedTable();
   SimulateCalls(table, {"a", "b"}, true, kStart + seconds(10),
@@ -84,7 +84,8 @@
   cr_expect(table.HasFullView(kStart + seconds(25)));
 }
 
-// Guards against a host that others still hear and that this one has lost.
+// Guards against a full view while other hosts still reach a control host that
+// this one does not.
 Test(control_host_table,
      unreachable_host_that_others_mention_counts_as_missing) {
   ControlHostTable table = StartedTable();
@@ -96,7 +97,7 @@
   cr_expect(not table.HasFullView(kStart + seconds(25)));
 }
 
-// Guards against a call every few milliseconds to a host that is down.
+// Guards against retrying a failed host every few milliseconds.
 Test(control_host_table, failed_host_is_avoided_until_the_backoff_ends) {
   ControlHostTable table = StartedTable();
   const TimePoint now = kStart + seconds(10);
--- a/knapweedroad/registry/control_hosts_view.h
+++ b/knapweedroad/registry/control_hosts_view.h
@@ -9,17 +9,22 @@
 
 namespace knapweedroad {
 
-// What a control host makes of the others at one moment.
+// The reachability of the other control hosts, as one control host sees it at
+// one moment.
 struct ControlHostsView {
-  // Its news is whole.
+  // Whether this control host has complete information; see
+  // ControlHostTable::HasFullView().
   bool has_full_view = false;
-  // Those that are known and don't answer, as a log line names them.
+  // The ids of the unreachable control hosts, separated by spaces, for a log
+  // line.
   std::string unreachable;
-  // Since the last question that a quorum has answered; nothing: never.
+  // The time since the last query that a quorum answered. Empty if there was
+  // none.
   std::optional<Duration> quorum_age;
 };
 
-// For logs and metrics; -1: never.
+// Returns the quorum age in milliseconds, for logs and metrics, or -1 if no
+// quorum has ever answered.
 int64_t QuorumAgeMs(const ControlHostsView& view);
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/entry_host_record.h
+++ b/knapweedroad/registry/entry_host_record.h
@@ -1,4 +1,4 @@
-// An entry host, as hosts tell each other of it.
+// The description of an entry host that hosts exchange.
 
 #ifndef KNAPWEEDROAD_REGISTRY_ENTRY_HOST_RECORD_H_
 #define KNAPWEEDROAD_REGISTRY_ENTRY_HOST_RECORD_H_
@@ -11,7 +11,7 @@
 struct EntryHostRecord {
   HostId host;
   ZoneId zone;
-  // Where it takes calls of other hosts.
+  // The address at which it accepts calls from other hosts.
   Endpoint peer_address;
 
   friend bool operator==(const EntryHostRecord&,
--- a/knapweedroad/registry/outcome_collector.cc
+++ b/knapweedroad/registry/outcome_collector.cc
@@ -8,11 +8,11 @@
 namespace knapweedroad {
 namespace {
 
-// Between two judgements: at the least, and for each target, so that judging
-// many targets takes a small part of a processor.
+// The minimum interval between two evaluations, in total and per target, so
+// that evaluating many targets uses a small part of a processor.
 constexpr Duration kMinEvaluationInterval = std::chrono::milliseconds(50);
 constexpr Duration kEvaluationIntervalPerTarget = std::chrono::microseconds(30);
-// Targets whose outcomes are passed on in one report.
+// The maximum number of targets in one forwarded report.
 constexpr size_t kMaxForwardedTargets = 1000;
 
 }  // namespace
@@ -22,7 +22,7 @@
           {.max_reported_targets = kMaxForwardedTargets,
            .max_attempts_per_target = std::numeric_limits<uint32_t>::max()}) {}
 
-// What another control host has passed on isn't passed on again.
+// A report that another control host forwarded is not forwarded again.
 void OutcomeCollector::Add(const OutcomeReport& report, TimePoint now) {
   this->outlier_detector.Add(report.outcomes, now);
   if (report.role != FollowerRole::kEntry) {
--- a/knapweedroad/registry/outcome_collector.h
+++ b/knapweedroad/registry/outcome_collector.h
@@ -1,14 +1,15 @@
-// What the entry hosts of a zone report of targets, at one of its control
-// hosts: passed on to the zone's other control hosts, and judged.
+// Collects, at one control host, the outcomes of requests to targets that the
+// entry hosts of its zone report. Forwards them to the other control hosts of
+// the zone and evaluates them.
 //
 //   OutcomeCollector collector;
-//   collector.Add(report, now);                    // came with a watch call
+//   collector.Add(report, now);  // received with a watch call
 //   TimePoint due = collector.AddUrgent(report, now);
-//   if (collector.Judge(service_of, now)) TellFollowers();   // when due
+//   if (collector.Evaluate(service_of, now)) NotifyFollowers();  // when due
 //
-// Answers the pattern of targets that begin to fail under many hosts: each host
-// reports a failure at once, and the reports of all of a zone's hosts count
-// together whichever control host they reach.
+// Detects targets that start to fail for many hosts. Each host reports a
+// failure at once, and the reports of all hosts of a zone are summed whichever
+// control host receives them.
 
 #ifndef KNAPWEEDROAD_REGISTRY_OUTCOME_COLLECTOR_H_
 #define KNAPWEEDROAD_REGISTRY_OUTCOME_COLLECTOR_H_
@@ -28,15 +29,17 @@
   OutcomeCollector();
 
   void Add(const OutcomeReport& report, TimePoint now);
-  // The same for a report that didn't wait for the next call. Returns when it
-  // is to be judged: at once, unless a judgement was made a moment ago.
+  // Adds a report that an entry host sent between two watch calls. Returns when
+  // it is to be evaluated: at once, unless the last evaluation was a moment
+  // ago.
   TimePoint AddUrgent(const OutcomeReport& report, TimePoint now);
 
-  // Makes the lists of outliers anew; true: they have changed.
+  // Recomputes the lists of outliers. Returns true if the list for followers
+  // changed.
   bool Evaluate(const OutlierDetector::ServiceOf& service_of, TimePoint now);
 
-  // What entry hosts have reported here and that control host of the zone
-  // hasn't heard yet.
+  // Returns the outcomes that entry hosts reported here and that have not been
+  // forwarded to `control_host` yet. The first call for a host returns nothing.
   std::vector<TargetOutcomes> TakeUnforwarded(const HostId& control_host,
                                               TimePoint now);
 
--- a/knapweedroad/registry/outcome_collector_test.cc
+++ b/knapweedroad/registry/outcome_collector_test.cc
@@ -38,7 +38,8 @@
   cr_expect(collector.TakeUnforwarded(kPeer, kStart).empty());
 }
 
-// Guards against outcomes that two control hosts send to and fro for ever.
+// Guards against outcomes that two control hosts forward to each other
+// endlessly.
 Test(outcome_collector, forwarded_reports_are_not_forwarded_again) {
   OutcomeCollector collector;
   collector.TakeUnforwarded(kPeer, kStart);
@@ -56,11 +57,12 @@
   cr_expect(collector.AddUrgent(Failures(1), soon) < soon + milliseconds(100));
 }
 
-// The pattern: the hosts of a zone each ask dozens of targets once or twice a
-// second, and half of the targets begin to refuse two of five requests.
+// The hosts of a zone each query dozens of targets once or twice a second, and
+// half of the targets start to refuse two of five requests.
 class RefusingZoneSimulation {
  public:
-  // How long until both control hosts list nine of ten refusing targets.
+  // Returns the time until both control hosts list nine of ten refusing
+  // targets.
   Duration TimeToDetect() {
     for (OutcomeCollector& collector : this->control) {
       collector.TakeUnforwarded(kPeer, kStart);
@@ -80,7 +82,7 @@
   static constexpr size_t kTargets = 36;
   static constexpr size_t kRefusing = kTargets / 2;
   static constexpr double kRefusedShare = 0.4;
-  // Requests a second of the zone, each asking all of its targets.
+  // Requests per second of the zone, each of which queries all targets.
   static constexpr double kRate = 25;
 
   static TargetId Target(size_t index) {
@@ -134,8 +136,8 @@
   std::mt19937 random{1};
 };
 
-// Guards against targets that refuse for a second before a zone's hosts, each
-// of which has met few of the refusals, know of them.
+// Guards against a zone that takes a second to detect refusing targets, when
+// each host has seen only a few of the refusals.
 Test(outcome_collector, zone_detects_refusing_targets_within_half_a_second) {
   const Duration detection_time = RefusingZoneSimulation().TimeToDetect();
   cr_expect(detection_time < milliseconds(500), "%lld ms",
--- a/knapweedroad/registry/outcome_recorder.cc
+++ b/knapweedroad/registry/outcome_recorder.cc
@@ -5,8 +5,8 @@
 namespace knapweedroad {
 namespace {
 
-// Nothing is kept for a control host that hasn't asked for this long; longer
-// than a call is held. Old outcomes mislead.
+// Outcomes for a control host are dropped after this time without a call for
+// it, since old outcomes mislead. It is longer than a watch call is held open.
 constexpr Duration kRetention = std::chrono::milliseconds(2500);
 
 }  // namespace
--- a/knapweedroad/registry/outcome_recorder.h
+++ b/knapweedroad/registry/outcome_recorder.h
@@ -1,5 +1,5 @@
-// What this entry host has seen of targets and not reported yet, for each
-// control host that it reports to.
+// Records outcomes of requests to targets until they are reported, separately
+// for each control host that receives reports.
 //
 //   OutcomeRecorder recorder;
 //   recorder.Count({.target = id, .answered = 1});
@@ -21,11 +21,13 @@
 namespace knapweedroad {
 
 struct OutcomeRecorderOptions {
-  // A report's size. At the default, packed, about 1 KB: a call a second to two
-  // control hosts is 2 of the 3 KB/s that a host may spend on control.
+  // The maximum number of targets in a report. At the default, a packed report
+  // is about 1 KB: one call a second to each of two control hosts uses 2 of the
+  // 3 KB/s that a host may spend on control traffic.
   size_t max_reported_targets = 64;
-  // A target asked more often than this between two reports is left out: the
-  // host knows enough by itself, and so does every other one of its load.
+  // A target with more attempts than this between two reports is left out: this
+  // host detects its state alone, and so does every other host with a similar
+  // load.
   uint32_t max_attempts_per_target = 50;
 };
 
@@ -34,11 +36,12 @@
   explicit OutcomeRecorder(OutcomeRecorderOptions options = {})
       : options(options) {}
 
-  // Adds to what every control host is still to hear.
+  // Adds the outcomes to the next report for every control host.
   void Count(const TargetOutcomes& outcomes);
 
-  // What `control_host` hasn't heard; the first call gives nothing. A part of
-  // it where there is more than a report holds: the rest comes with the next.
+  // Returns the outcomes not yet reported to `control_host`. The first call for
+  // a host returns nothing. Outcomes beyond the maximum size stay for the next
+  // call.
   std::vector<TargetOutcomes> Take(const HostId& control_host, TimePoint now);
 
  private:
--- a/knapweedroad/registry/outcome_recorder_test.cc
+++ b/knapweedroad/registry/outcome_recorder_test.cc
@@ -29,8 +29,9 @@
   cr_expect_eq(recorder.Take(kSecond, kStart + seconds(1)).size(), 1);
 }
 
-// At 2,000 hosts each asks every target hundreds of times a second. Reports
-// would cost more than a host may spend on control, and tell nobody anything.
+// At 2,000 hosts each one queries every target hundreds of times a second.
+// Guards against reports that exceed the budget for control traffic and add no
+// information.
 Test(outcome_recorder, targets_with_many_attempts_are_not_reported) {
   OutcomeRecorder recorder;
   recorder.Take(kFirst, kStart);
@@ -43,8 +44,8 @@
   cr_expect_eq(report[0].target, TargetId("rare"));
 }
 
-// A host was cut off from a control host, and from targets as well. What it
-// saw meanwhile would make sound targets look bad once the cut has healed.
+// Guards against outcomes recorded during a network partition that make healthy
+// targets look bad after it heals.
 Test(outcome_recorder, outcomes_not_reported_in_time_are_dropped) {
   OutcomeRecorder recorder;
   recorder.Take(kFirst, kStart);
--- a/knapweedroad/registry/outlier_detector.cc
+++ b/knapweedroad/registry/outlier_detector.cc
@@ -8,39 +8,40 @@
 namespace knapweedroad {
 namespace {
 
-// Outcomes count half after this: a report is up to a second old when it
-// comes, and a target that has changed should show within the next one.
+// The half-life of outcomes. A report is up to a second old when it arrives,
+// and a changed target should be detected within the next second.
 constexpr Duration kHalfLife = std::chrono::milliseconds(800);
-// The same for a listed target, of which few outcomes come.
+// The half-life for a listed target, which receives few requests.
 constexpr Duration kListedHalfLife = std::chrono::seconds(4);
-// A judgement needs so many attempts: fewer tell of chance. Latencies scatter
-// by half, so the mean of fewer is known badly.
+// The minimum number of attempts for an evaluation; fewer are dominated by
+// chance. Latencies vary by half, so the mean of fewer is inaccurate.
 constexpr double kMinAttempts = 6;
-// A listed target that does well in so many is believed: all hosts try it then,
-// and if that was chance, it is back on the list within a second.
+// The minimum for a listed target. If it succeeds in this many attempts, all
+// hosts try it again; if that was chance, it is listed again within a second.
 constexpr double kMinListedAttempts = 3;
-// A share below this is left to each host's own retries: answers lost now and
-// then are spread over many targets, and all of them would be listed.
+// Smaller shares are left to the retries of each host: sporadic failures are
+// spread over many targets, all of which would be listed.
 constexpr double kMinFailedShare = 0.12;
-// Sound targets of a service differ in speed by up to 1.6 times.
+// Healthy targets of a service differ in latency by a factor of up to 1.6.
 constexpr double kMinSlowdown = 2.2;
 constexpr double kMaxSlowdown = 20;
-// Hardly anything is sent to a listed target, so it keeps its place without
-// new outcomes, and is tried by everybody again after this.
+// A listed target receives few requests, so it stays listed without new
+// outcomes for this time, after which all hosts try it again.
 constexpr Duration kListedRetention = std::chrono::seconds(12);
 constexpr Duration kRetention = std::chrono::seconds(30);
 constexpr size_t kMaxTargets = 20'000;
-// Bounds the reply to a follower: about 5 KB before packing.
+// Bounds the reply to a follower to about 5 KB before packing.
 constexpr size_t kMaxListed = 256;
 
-// A service's best latency counts this much less a second: it is soon forgotten
-// where all of its targets have more to do.
+// The growth of a service's best latency per second, so that it soon expires
+// when all targets of the service have a higher load.
 constexpr double kBestGrowthPerSecond = 1.07;
 
-// A control host of another zone replies several times a second; without it for
-// this long its list is dropped.
+// A control host of another zone replies several times a second. Its list is
+// dropped after this time without a reply.
 constexpr Duration kRemoteListTimeout = std::chrono::seconds(4);
-// What this zone has judged itself within this goes before other zones' lists.
+// An evaluation by this zone takes precedence over the lists of other zones for
+// this time.
 constexpr Duration kOwnEvaluationWindow = std::chrono::seconds(2);
 
 int Severity(const TargetOutlier& outlier) {
@@ -118,9 +119,9 @@
   }
 }
 
-// A target that gets nearly all of a service's requests can't be compared with
-// the others now, so it is compared with what the service's targets did before,
-// too.
+// A target that receives nearly all requests of a service can't be compared
+// with the others now, so it is also compared with the earlier latency of the
+// service's targets.
 void OutlierDetector::UpdateBestLatency(const ServiceId& service,
                                         double latency_us,
                                         TimePoint now) {
@@ -144,8 +145,8 @@
     }
     Decay(entry, now);
     services.emplace(it->first, service);
-    // A target that refuses much of its work answers the rest fast and is no
-    // measure for those that do the work.
+    // A target that refuses many requests answers the rest fast and is not a
+    // baseline for targets that do the work.
     const double attempts = entry.answered + entry.failed;
     const bool is_healthy = entry.failed < kMinFailedShare * attempts;
     if (is_healthy && entry.timed >= kMinAttempts) {
@@ -192,9 +193,9 @@
   }
 }
 
-// Only a target's own zone asks it often enough to see soon that it is slow.
-// What this zone has seen itself goes before: a target may fail for the callers
-// of one zone alone.
+// Only the zone of a target queries it often enough to detect soon that it is
+// slow. Outcomes of this zone take precedence, since a target may fail for the
+// callers of one zone only.
 void OutlierDetector::AddRemoteOutliers(std::vector<TargetOutlier>& list,
                                         TimePoint now) {
   std::erase_if(this->remote_lists, [now](const auto& entry) {
--- a/knapweedroad/registry/outlier_detector.h
+++ b/knapweedroad/registry/outlier_detector.h
@@ -1,13 +1,14 @@
-// A control host's view of how targets do, from what the entry hosts that
-// follow it report, and the list of outliers among them.
+// Detects targets that perform worse than the others of their service, from the
+// reports of the entry hosts that follow a control host.
 //
 //   OutlierDetector detector;
 //   detector.Add(report, now);
-//   if (detector.Refresh(service_of, now)) TellFollowers(detector.outliers());
+//   if (detector.Refresh(service_of, now))
+//   NotifyFollowers(detector.outliers());
 //
-// Answers the pattern of many hosts over few targets: one host asks a given
-// target seldom, so a target that turns slow or refuses costs every host
-// several requests before it notices. Together they ask it often and know
+// With many hosts over few targets, one host queries a given target rarely, so
+// a target that slows down or refuses requests costs every host several
+// requests before it is detected. The combined reports of all hosts show it
 // within a second.
 
 #ifndef KNAPWEEDROAD_REGISTRY_OUTLIER_DETECTOR_H_
@@ -31,33 +32,38 @@
 
 class OutlierDetector {
  public:
-  // The service of a target; empty for one that is unknown or gone.
+  // Returns the service of a target, or an empty id if the target is unknown or
+  // gone.
   using ServiceOf = std::function<ServiceId(const TargetId&)>;
 
-  // One host's report; entries beyond the bound on targets are left out.
+  // Adds one host's report. New targets beyond the maximum number are ignored.
   void Add(std::span<const TargetOutcomes> report, TimePoint now);
 
-  // What a control host of another zone has listed by its own zone's reports;
-  // replaces what it said before.
+  // Replaces the outliers that a control host of another zone reported from the
+  // outcomes of its own zone.
   void SetRemoteOutliers(const HostId& control_host,
                          std::vector<TargetOutlier> outliers,
                          TimePoint now);
-  // That control host has replied without news: its list still holds.
+  // Records a reply of that control host without changes: its list remains
+  // valid.
   void RefreshRemoteOutliers(const HostId& control_host, TimePoint now);
 
-  // Makes the lists anew. True: the whole one differs from the one before.
+  // Recomputes both lists. Returns true if outliers() changed.
   bool Refresh(const ServiceOf& service_of, TimePoint now);
 
-  // As of the last Refresh(), worst first: by this zone's reports and, for
-  // targets of which those say too little, by what other zones listed.
+  // The outliers as of the last Refresh(), most severe first: those from the
+  // reports of this zone and, for targets with too few of these, those that
+  // other zones reported.
   const std::vector<TargetOutlier>& outliers() const { return this->listed; }
-  // Rises with each change of the list.
+  // Increases with each change of outliers().
   uint64_t revision() const { return this->list_revision; }
-  // The same by this zone's reports alone, to be told to other zones.
+  // The outliers from the reports of this zone alone, which are sent to other
+  // zones.
   const std::vector<TargetOutlier>& own_outliers() const {
     return this->own_listed;
   }
-  // What a host with that revision of a list is to hear of it.
+  // Returns the changes to outliers() or own_outliers() since the given
+  // revision of that list.
   ListDelta<TargetOutlier, TargetId> DeltaSince(uint64_t revision) const {
     return this->published.DeltaSince(revision);
   }
@@ -69,7 +75,7 @@
   size_t size() const { return this->targets.size(); }
 
  private:
-  // Sums that fade.
+  // Sums that decay exponentially.
   struct Entry {
     double answered = 0;
     double failed = 0;
@@ -77,7 +83,7 @@
     double latency_us = 0;
     TimePoint decayed_at;
     TimePoint last_received;
-    // As last listed, and when there were last attempts enough to say so.
+    // The last evaluation, and when there were last enough attempts for one.
     TargetOutlier outlier;
     TimePoint evaluated_at;
 
@@ -86,7 +92,7 @@
     }
   };
 
-  // The least latency that a service's targets were seen with lately.
+  // The lowest recent mean latency of any target of a service, in microseconds.
   struct BestLatency {
     double us = 0;
     TimePoint observed_at;
@@ -97,7 +103,8 @@
     TimePoint last_received;
   };
 
-  // Adds what other zones listed and this one knows too little of.
+  // Adds outliers that other zones reported and that this zone has not
+  // evaluated recently.
   void AddRemoteOutliers(std::vector<TargetOutlier>& list, TimePoint now);
 
   static void Decay(Entry& entry, TimePoint now);
@@ -117,7 +124,8 @@
   VersionedList<TargetOutlier, TargetId> published;
 };
 
-// "TARGET(failed_eighths:3,slowdown:1) " for the first few, for the log.
+// Returns "TARGET(failed_eighths:3,slowdown:1) " for each of the first few
+// outliers, for a log line.
 std::string DescribeOutliers(std::span<const TargetOutlier> outliers);
 
 }  // namespace knapweedroad
--- a/knapweedroad/registry/outlier_detector_test.cc
+++ b/knapweedroad/registry/outlier_detector_test.cc
@@ -30,9 +30,9 @@
   detector.Add(report, now);
 }
 
-// Dozens of hosts ask a target once in two seconds each. It refuses every
-// second request; each host sees one or two of the refusals, too few to avoid
-// it. Together they show it at once.
+// Dozens of hosts each query a target once in two seconds, and it refuses every
+// second request. Each host sees too few refusals to avoid the target; the
+// combined reports show it at once.
 Test(outlier_detector, target_that_refuses_many_hosts_is_listed) {
   OutlierDetector detector;
   for (int host = 0; host < 8; ++host) {
@@ -47,8 +47,8 @@
   cr_expect_eq(detector.outliers()[0].failed, 4);
 }
 
-// A target turns seven times as slow; answers of its shard come late until
-// every host has noticed by itself.
+// Guards against a target that becomes seven times as slow and delays the
+// answers of its shard until every host has detected it alone.
 Test(outlier_detector, slow_target_is_listed_with_its_slowdown) {
   OutlierDetector detector;
   AddReport(detector,
@@ -61,9 +61,9 @@
   cr_expect_eq(detector.outliers()[0].slowdown, 7);
 }
 
-// A zone's hosts ask their own zone's target nearly always. It turns eight
-// times as slow; the two others were asked too seldom to compare it with, and
-// callers of the zone wait for it until each host has noticed alone.
+// The hosts of a zone send nearly all requests to the target of their own zone,
+// which becomes eight times as slow. Guards against a missed detection because
+// the other targets have too few requests to compare it with.
 Test(outlier_detector,
      target_with_nearly_all_requests_is_compared_with_earlier_latency) {
   OutlierDetector detector;
@@ -79,7 +79,7 @@
   cr_expect_eq(detector.outliers()[0].target, TargetId("near"));
 }
 
-// All targets of a service have twice the work for a minute. They are compared
+// All targets of a service have twice the load for a minute. They are compared
 // with each other again, and none is an outlier.
 Test(outlier_detector, service_under_higher_load_has_no_outliers) {
   OutlierDetector detector;
@@ -104,9 +104,9 @@
   cr_expect_not(detector.Refresh(OneService, kStart));
 }
 
-// A listed target is hardly asked any more. Without evidence it must neither
-// come off the list within moments, or all hosts fall for it again, nor stay
-// there for ever.
+// A listed target receives few requests. Without new outcomes it must neither
+// be unlisted within moments, after which all hosts use it again, nor stay
+// listed permanently.
 Test(outlier_detector, listed_target_without_new_outcomes_is_kept_for_a_while) {
   OutlierDetector detector;
   AddReport(detector, {{.target = TargetId("bad"), .failed = 10}}, kStart);
@@ -127,8 +127,8 @@
   cr_expect(detector.outliers().empty());
 }
 
-// Answers lost now and then on half of the targets are no reason to avoid half
-// of the targets: the other half would get all the load.
+// Guards against avoiding half of the targets because of sporadic failures,
+// which would overload the other half.
 Test(outlier_detector, small_share_of_failures_lists_no_target) {
   OutlierDetector detector;
   AddReport(detector, {{.target = TargetId("t"), .answered = 95, .failed = 5}},
@@ -156,9 +156,8 @@
   cr_expect_eq(detector.outliers().size(), 256);
 }
 
-// Two of three targets refuse half of their requests and, with little to do,
-// answer the others fast. The third has the rest of the work; listed as slow it
-// would be avoided for those that refuse.
+// Guards against listing a busy target as slow, and preferring targets that
+// refuse half of their requests and answer the rest fast.
 Test(outlier_detector, busy_target_is_not_compared_with_refusing_target) {
   OutlierDetector detector;
   AddReport(detector,
@@ -180,9 +179,9 @@
 
 const HostId kRemoteControlHost("control-of-another-zone");
 
-// A target of another zone turns slow. This zone's hosts ask it once a second
-// together, too seldom to see it; with dozens of shards nearly every scatter
-// waits for one such target until its own zone has told.
+// A target of another zone becomes slow. The hosts of this zone query it too
+// rarely to detect it, and with dozens of shards nearly every scatter waits for
+// one such target until its own zone reports it.
 Test(outlier_detector, outliers_of_another_zone_are_listed) {
   OutlierDetector detector;
   AddReport(detector, {Answered("far", 2, 90'000)}, kStart);
@@ -191,12 +190,13 @@
   cr_assert(detector.Refresh(OneService, kStart));
   cr_assert_eq(detector.outliers().size(), 1);
   cr_expect_eq(detector.outliers()[0].slowdown, 8);
-  // It isn't passed on as seen here: it would never be forgotten.
+  // It is not reported as observed by this zone; otherwise zones would keep it
+  // listed for each other permanently.
   cr_expect(detector.own_outliers().empty());
 }
 
-// A target fails for the callers of one zone alone. The others' hosts, which
-// ask it often and are served, go on using it.
+// A target fails for the callers of one zone only. The hosts of other zones,
+// which query it often and get answers, keep using it.
 Test(outlier_detector,
      outcomes_of_this_zone_take_precedence_over_remote_lists) {
   OutlierDetector detector;
@@ -207,8 +207,8 @@
   cr_expect(detector.outliers().empty());
 }
 
-// The zone that listed a target is cut off. What it said is forgotten, as
-// nobody there can say any more that the target is well.
+// Guards against a list that stays in use after its zone is partitioned and can
+// no longer report that a target has recovered.
 Test(outlier_detector, list_of_an_unreachable_zone_is_dropped) {
   OutlierDetector detector;
   detector.SetRemoteOutliers(kRemoteControlHost, {SlowOutlier("far", 8)},
--- a/knapweedroad/registry/registry_fuzz.cc
+++ b/knapweedroad/registry/registry_fuzz.cc
@@ -1,6 +1,6 @@
-// libFuzzer target: no bytes make the readers of what hosts tell each other of
-// targets, hosts, versions and roll-outs crash, and what they accept is written
-// and read back unchanged. The first byte chooses the message.
+// libFuzzer target: the decoders of messages about targets, hosts, versions and
+// rollouts must not crash on any input, and accepted input must survive
+// encoding and decoding unchanged. The first byte selects the message.
 //
 //   cmake -S . -B build-fuzz -G Ninja -DKWR_FUZZ=ON -DKWR_SANITIZE=ON
 //       -DKWR_CORE_ONLY=ON -DCMAKE_C_COMPILER=clang-14
--- a/knapweedroad/registry/target_outcomes.h
+++ b/knapweedroad/registry/target_outcomes.h
@@ -1,7 +1,7 @@
-// What entry hosts see of targets, shared through the control hosts that they
-// follow: outcomes go up with each watch call, and between two of them when
-// something goes wrong; outliers come down with the reply. The control hosts of
-// a zone pass on to each other what they hear.
+// Outcomes of requests to targets, which entry hosts share through the control
+// hosts that they follow. Entry hosts send outcomes with each watch call, and
+// between calls after a failure; replies carry the list of outliers. The
+// control hosts of a zone forward the reports to each other.
 
 #ifndef KNAPWEEDROAD_REGISTRY_TARGET_OUTCOMES_H_
 #define KNAPWEEDROAD_REGISTRY_TARGET_OUTCOMES_H_
@@ -15,14 +15,15 @@
 
 enum class FollowerRole : uint8_t { kEntry = 1, kControl = 2 };
 
-// Outcomes of one host's attempts on one target since its last report.
+// Outcomes of one host's attempts at one target since its last report.
 struct TargetOutcomes {
   TargetId target;
-  // Attempts that were answered, and all that failed or were refused.
+  // The number of answered attempts, and of attempts that failed or were
+  // refused.
   uint32_t answered = 0;
   uint32_t failed = 0;
-  // Attempts whose latency is known, those given up late among them, and the
-  // sum of their latencies in microseconds.
+  // The number of attempts whose latency was measured, including those
+  // abandoned late, and the sum of their latencies in microseconds.
   uint32_t timed = 0;
   uint64_t latency_us = 0;
 
@@ -37,7 +38,7 @@
   }
 };
 
-// Outcomes that can't wait for the next watch call.
+// A report sent between two watch calls.
 struct OutcomeReport {
   FollowerRole role = FollowerRole::kEntry;
   std::vector<TargetOutcomes> outcomes;
@@ -49,16 +50,17 @@
   }
 };
 
-// A target that does worse than the others of its service, as told to entry
-// hosts. Coarse figures, so that the list changes seldom.
+// A target that performs worse than the others of its service, as sent to entry
+// hosts. The values are coarse, so that the list changes rarely.
 struct TargetOutlier {
-  // Units of `failed` in a whole.
+  // The number of `failed` units that equals all attempts.
   static constexpr uint8_t kFailedUnits = 8;
 
   TargetId target;
-  // Share of attempts that fail or are refused, in eighths.
+  // The share of attempts that fail or are refused, in eighths.
   uint8_t failed = 0;
-  // Latency over the service's best target's, whole; 1: as usual.
+  // The ratio of its latency to that of the best target of the service,
+  // rounded; 1 means normal.
   uint8_t slowdown = 1;
 
   friend bool operator==(const TargetOutlier&, const TargetOutlier&) = default;
--- a/knapweedroad/registry/target_record.h
+++ b/knapweedroad/registry/target_record.h
@@ -1,4 +1,4 @@
-// What a target has told of itself, as hosts pass it on.
+// The state that a target announced, as hosts forward it.
 
 #ifndef KNAPWEEDROAD_REGISTRY_TARGET_RECORD_H_
 #define KNAPWEEDROAD_REGISTRY_TARGET_RECORD_H_
@@ -11,32 +11,34 @@
 
 namespace knapweedroad {
 
-// In the order of precedence between records of one life and sequence.
+// In order of precedence between records of one incarnation and sequence.
 enum class TargetPhase : uint8_t {
   kServing,
-  kSilent,   // its heartbeats have stopped; it may still serve
-  kLeaving,  // gets no new work
-  kGone,     // has signed off, or another target has its address
+  kSilent,   // heartbeats have stopped; it may still serve
+  kLeaving,  // receives no new requests
+  kGone,     // deregistered, or replaced at its address
 };
 
 struct TargetRecord {
   TargetId id;
   ServiceId service;
   ZoneId zone;
-  // Of its software; empty where it doesn't say.
+  // The version of its software; empty if not announced.
   VersionId version;
   Endpoint address;
-  // Requests that it runs at once.
+  // The maximum number of requests that it runs concurrently.
   uint32_t slots = 1;
-  // Its life: Unix milliseconds of its start, zero where it doesn't say. Only
-  // compared between lives of one id or one address, never with a clock.
+  // Identifies its incarnation: the Unix time of its start in milliseconds, or
+  // zero if not announced. It is compared only between incarnations of one id
+  // or one address, never with a clock.
   uint64_t started_ms = 0;
-  // Rises with each announcement of a life.
+  // Increases with each announcement of an incarnation.
   uint64_t sequence = 0;
   TargetPhase phase = TargetPhase::kServing;
-  // For how much longer it bears little, from when the record was passed on.
+  // The remaining time of its cold start, during which its capacity is reduced,
+  // counted from when the record was forwarded.
   Duration cold_left{};
-  // The control host that its heartbeats reach.
+  // The control host that receives its heartbeats.
   HostId heartbeat_receiver;
 
   friend bool operator==(const TargetRecord&, const TargetRecord&) = default;
@@ -52,15 +54,15 @@
   }
 };
 
-// Whether `left` is newer knowledge of the same target than `right`.
+// Whether `left` is a newer state of the same target than `right`.
 //
-// A delayed announcement of an earlier life doesn't supersede a later life,
-// whatever its sequence.
+// A delayed announcement of an earlier incarnation never supersedes a later
+// one, whatever its sequence.
 inline bool Supersedes(const TargetRecord& left, const TargetRecord& right) {
   if (left.started_ms != right.started_ms) {
     return left.started_ms > right.started_ms;
   }
-  // A life that has signed off doesn't come back.
+  // An incarnation that has deregistered does not return.
   if ((left.phase == TargetPhase::kGone) !=
       (right.phase == TargetPhase::kGone)) {
     return left.phase == TargetPhase::kGone;
--- a/knapweedroad/registry/target_registry.cc
+++ b/knapweedroad/registry/target_registry.cc
@@ -8,15 +8,15 @@
 namespace knapweedroad {
 namespace {
 
-// A cold start that ends this much earlier or later than known is told on;
-// less is the jitter of delivery.
+// A change of the end of a cold start is published only above this; smaller
+// differences are jitter of delivery.
 constexpr Duration kColdJitter = std::chrono::milliseconds(400);
 
 std::string AddressKey(const Endpoint& address) {
   return address.ip + ":" + std::to_string(address.port);
 }
 
-// Whether others act differently on the two records.
+// Whether followers act differently on the two records.
 bool DiffersVisibly(const TargetRecord& left, const TargetRecord& right) {
   return left.service != right.service || left.zone != right.zone ||
          left.version != right.version || left.address != right.address ||
@@ -54,9 +54,9 @@
   return true;
 }
 
-// Of two targets at one address the one that started later is there: addresses
-// of crashed targets are given to other services, and late announcements still
-// name the first.
+// Of two targets at one address, the one that started later is current:
+// addresses of crashed targets are reassigned to other services, and late
+// announcements still carry the first target.
 void TargetRegistry::ResolveAddressConflict(const TargetId& id, TimePoint) {
   Entry& entry = this->entries.at(id);
   if (entry.record.phase == TargetPhase::kGone) {
@@ -128,9 +128,9 @@
   if (this->Apply(std::move(record), now)) {
     return;
   }
-  // Heartbeats that change nothing aren't passed on. If another control host
-  // tells otherwise of a target that is heard here, this host tells of it
-  // again.
+  // Heartbeats that change nothing aren't forwarded. If another control host
+  // forwards a different state of a target whose heartbeats arrive here, this
+  // host publishes its own record again.
   Entry& entry = found->second;
   const bool is_own = entry.record.heartbeat_receiver == this->options.self;
   if (is_own && (received_phase != entry.record.phase ||
@@ -147,7 +147,8 @@
         (!is_own && is_live(entry.record.heartbeat_receiver))) {
       continue;
     }
-    // A dead control host's targets get time to find another one.
+    // The targets of a failed control host get twice the time, to find another
+    // one.
     const Duration allowed = this->options.silent_after * (is_own ? 1 : 2);
     if (now - entry.last_update > allowed) {
       entry.record.phase = TargetPhase::kSilent;
--- a/knapweedroad/registry/target_registry.h
+++ b/knapweedroad/registry/target_registry.h
@@ -1,5 +1,6 @@
-// All targets that a control host knows of, by their announcements and by what
-// other control hosts pass on, with a revision for whoever follows it.
+// Stores all targets that are known to a control host, from their announcements
+// and from records that other control hosts forward, with a revision for
+// followers.
 //
 //   TargetRegistry registry({.self = host, .silent_after = 4s});
 //   registry.Announce(record, now);
@@ -21,18 +22,18 @@
 
 struct TargetRegistryOptions {
   HostId self;
-  // Without an announcement for this long a target counts as silent.
+  // A target is marked silent after this time without an announcement.
   Duration silent_after = std::chrono::seconds(4);
-  // Records of targets that are silent or gone are dropped after this long.
+  // Records of silent or deregistered targets are dropped after this time.
   Duration forget_after = std::chrono::seconds(60);
-  // Bounds memory against a flood of made-up ids.
+  // Bounds memory against a flood of invented ids.
   size_t max_targets = 20'000;
 };
 
-// What became of an announcement.
+// The result of an announcement.
 enum class AnnounceResult : uint8_t {
   kAccepted,
-  kOutdated,  // newer knowledge is held; nothing changed
+  kOutdated,  // a newer record exists; nothing changed
   kFull,
 };
 
@@ -40,42 +41,46 @@
  public:
   explicit TargetRegistry(TargetRegistryOptions options);
 
-  // A target told this host of itself.
+  // Records an announcement that a target sent to this host. Returns kFull if
+  // the target is new and the registry has reached its maximum size.
   AnnounceResult Announce(TargetRecord record, TimePoint now);
 
-  // The target signs off. `started_ms` and `sequence` are zero where it
-  // doesn't say: then its life that is known here ends.
+  // Marks the target as gone. `started_ms` and `sequence` are zero if the
+  // target doesn't state them: the incarnation recorded here ends. A call for
+  // an earlier incarnation or an unknown target changes nothing.
   void Deregister(const TargetId& id,
                   uint64_t started_ms,
                   uint64_t sequence,
                   TimePoint now);
 
-  // Another control host passed this on.
+  // Merges a record that another control host forwarded.
   void Merge(TargetRecord record, TimePoint now);
 
-  // Marks targets silent and drops old records. `is_live` tells whether a
-  // control host is in touch: its targets are its own to judge.
+  // Marks targets silent and drops expired records. `is_live` returns whether a
+  // control host is reachable; a live control host decides on the targets that
+  // it receives heartbeats from.
   void Sweep(const std::function<bool(const HostId&)>& is_live, TimePoint now);
 
-  // Rises with each change that others must hear of.
+  // Increases with each change that followers must receive.
   uint64_t revision() const { return this->newest_revision; }
 
-  // Records that changed after `revision`; 0 gives all.
+  // Returns the records that changed after `revision`; 0 returns all.
   std::vector<TargetRecord> ChangedSince(uint64_t revision,
                                          TimePoint now) const;
 
-  // In no order.
+  // Calls `visit` for each record, in unspecified order.
   void ForEach(const std::function<void(const TargetRecord& record,
                                         bool is_cold)>& visit,
                TimePoint now) const;
 
-  // The version that the service's targets have; of several, other than
-  // `candidate`, that of the ones that started first. Empty: none is known.
+  // Returns the version that the service's targets run. If there are several,
+  // returns one other than `candidate`, that of the target that started first.
+  // Empty if the service has no targets.
   VersionId VersionInUse(const ServiceId& service,
                          const VersionId& candidate) const;
   bool HasTargets(const ServiceId& service) const;
 
-  // Null: unknown.
+  // Returns null if the target is unknown.
   const TargetRecord* Find(const TargetId& id) const;
   size_t size() const { return this->entries.size(); }
 
@@ -93,7 +98,7 @@
 
   TargetRegistryOptions options;
   std::unordered_map<TargetId, Entry> entries;
-  // Which target was last known at an address.
+  // The last known target at each address.
   std::unordered_map<std::string, TargetId> by_address;
   uint64_t newest_revision = 0;
 };
--- a/knapweedroad/registry/target_registry_test.cc
+++ b/knapweedroad/registry/target_registry_test.cc
@@ -24,9 +24,10 @@
   return registry.Find(TargetId(id))->phase;
 }
 
-// A target crashes and starts again under its id. An announcement of its first
-// life, held up by a cut, comes last. Taken as it comes it would bring back
-// what the first life said, here that it leaves, and nobody would use it.
+// A target crashes and restarts under its id, and an announcement of its
+// earlier incarnation, delayed by a partition, arrives last. Guards against it
+// restoring the earlier state, here that the target is leaving, so that no host
+// uses the target.
 Test(target_registry,
      late_announcement_of_an_earlier_incarnation_changes_nothing) {
   TargetRegistry registry({.self = HostId("c")});
@@ -37,9 +38,9 @@
   cr_expect(PhaseOf(registry, "t") == TargetPhase::kServing);
 }
 
-// A crashed target's address goes to a target of another service. A late
-// announcement names the first one there: requests would be sent to it and run
-// by the wrong service.
+// The address of a crashed target is reassigned to a target of another service.
+// Guards against a late announcement of the first target, which would send
+// requests to the wrong service.
 Test(target_registry, target_that_started_later_takes_over_an_address) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("old", 1000, 5), kStart);
@@ -52,8 +53,9 @@
   cr_expect(PhaseOf(registry, "new") == TargetPhase::kServing);
 }
 
-// A target signs off and serves on for a while; a heartbeat that was under way
-// arrives after that. Taken for news it would get requests when it is gone.
+// A target deregisters and serves for a while longer. Guards against a
+// heartbeat in transit that arrives afterwards and would send requests to the
+// target after it is gone.
 Test(target_registry, deregistered_target_returns_only_as_a_new_incarnation) {
   TargetRegistry registry({.self = HostId("c")});
   registry.Announce(Record("t", 1000, 5), kStart);
@@ -64,7 +66,7 @@
   cr_expect(PhaseOf(registry, "t") == TargetPhase::kServing);
 }
 
-// Two control hosts hear of the same target in different order.
+// Two control hosts receive the records of a target in different order.
 Test(target_registry, merge_result_does_not_depend_on_order) {
   TargetRecord leaving = Record("t", 1000, 9);
   leaving.phase = TargetPhase::kLeaving;
@@ -91,7 +93,7 @@
   cr_expect(changed[0].cold_left == seconds(2));
 }
 
-// A target crashes: its heartbeats stop, and it says nothing.
+// A target crashes: its heartbeats stop without a deregistration.
 Test(target_registry,
      target_without_heartbeats_becomes_silent_then_is_dropped) {
   TargetRegistry registry({.self = HostId("c"),
@@ -110,8 +112,9 @@
   cr_expect(registry.Find(TargetId("t")) == nullptr);
 }
 
-// The control host that hears a target dies. The target turns to another one
-// within a few heartbeats; until then nothing is known against it.
+// The control host that receives the heartbeats of a target fails. The target
+// switches to another one within a few heartbeats and must not be marked silent
+// until then.
 Test(target_registry, targets_of_a_failed_control_host_get_time_to_move) {
   TargetRegistry registry({.self = HostId("c"), .silent_after = seconds(4)});
   TargetRecord record = Record("t", 1000, 1);
@@ -124,9 +127,10 @@
   cr_expect(PhaseOf(registry, "t") == TargetPhase::kSilent);
 }
 
-// One control host is cut off from the others for some seconds. They take its
-// targets for silent; after the cut it hears them as ever, so it has nothing
-// to tell, and for minutes nobody uses targets that serve well.
+// A control host is partitioned from the others for some seconds, and they mark
+// its targets silent. Its own records are unchanged after the partition, so it
+// would publish nothing. Guards against healthy targets that no host uses for
+// minutes.
 Test(target_registry,
      heartbeat_receiver_corrects_records_that_others_marked_silent) {
   TargetRegistry receiver({.self = HostId("a"), .silent_after = seconds(4)});
--- a/knapweedroad/registry/versioned_list.h
+++ b/knapweedroad/registry/versioned_list.h
@@ -1,17 +1,17 @@
-// A list that one host keeps up to date at others: the whole of it once, then
-// what has changed.
+// A list that one host replicates to others: in full first, then as changes.
 //
-//   ToldList<EntryHostRecord, HostId> told;         // at the host that tells
-//   told.Set(hosts, ++revision);
-//   ListNews<EntryHostRecord, HostId> news = told.Since(their_revision);
+//   VersionedList<EntryHostRecord, HostId> source;  // at the sender
+//   source.Set(hosts, ++revision);
+//   ListDelta<EntryHostRecord, HostId> delta =
+//   source.DeltaSince(replica_revision);
 //
-//   HeardList<EntryHostRecord, HostId> heard;       // at a host that hears
-//   heard.Take(std::move(news));
-//   Use(heard.items());
+//   ListReplica<EntryHostRecord, HostId> replica;  // at a receiver
+//   replica.Apply(std::move(delta));
+//   Use(replica.items());
 //
-// Answers the pattern of lists that grow with the hosts and change all the
-// time: told whole with each change their bytes grow with the square of the
-// hosts.
+// These lists grow with the number of hosts and change all the time. Sending
+// them in full with each change costs bytes that grow with the square of the
+// number of hosts.
 
 #ifndef KNAPWEEDROAD_REGISTRY_VERSIONED_LIST_H_
 #define KNAPWEEDROAD_REGISTRY_VERSIONED_LIST_H_
@@ -25,10 +25,11 @@
 
 namespace knapweedroad {
 
-// Items are told from each other by KeyOf(item), found beside their type.
+// The changes to a list. KeyOf(item), declared next to the item type,
+// identifies an item.
 template <typename Item, typename Key>
 struct ListDelta {
-  // Whether `put` is the whole list, and not what is new or different in it.
+  // Whether `upserted` is the full list, rather than the new and changed items.
   bool is_full = false;
   std::vector<Item> upserted;
   std::vector<Key> removed;
@@ -47,8 +48,8 @@
  public:
   using Delta = ListDelta<Item, Key>;
 
-  // `items`, no two with one key, is the list as of `revision`, which rises
-  // with each call.
+  // Sets the list as of `revision`, which must increase with each call. No two
+  // of `items` may have the same key.
   void Set(std::vector<Item> items, uint64_t revision) {
     std::map<Key, Item> next;
     for (Item& item : items) {
@@ -60,8 +61,8 @@
     this->newest = revision;
   }
 
-  // What a host that has the list of `revision` is to hear: all, where that is
-  // zero or isn't known any more.
+  // Returns the changes since `revision`. Returns the full list if `revision`
+  // is zero, higher than the newest, or older than the retained changes.
   Delta DeltaSince(uint64_t revision) const {
     if (revision == 0 || revision < this->oldest_revision ||
         revision > this->newest) {
@@ -85,7 +86,8 @@
     Delta delta;
   };
 
-  // Over all steps that are remembered. A host that lags more gets it all.
+  // The maximum number of changes retained over all steps. A replica that lags
+  // further gets the full list.
   static constexpr size_t kMaxRetainedChanges = 2000;
 
   Delta ComputeDelta(const std::map<Key, Item>& next) const {
@@ -115,7 +117,7 @@
     }
   }
 
-  // Of each key only the last that was told.
+  // Returns only the latest state of each key that changed after `revision`.
   Delta MergeSteps(uint64_t revision) const {
     std::map<Key, bool> touched;
     for (const Step& step : this->steps) {
@@ -147,7 +149,7 @@
 
   std::map<Key, Item> list;
   uint64_t newest = 0;
-  // Steps are remembered from this revision on.
+  // Changes after this revision are retained.
   uint64_t oldest_revision = 0;
   std::deque<Step> steps;
   size_t retained_changes = 0;
--- a/knapweedroad/registry/versioned_list_test.cc
+++ b/knapweedroad/registry/versioned_list_test.cc
@@ -53,8 +53,8 @@
   cr_expect(source.DeltaSince(6) == Source::Delta());
 }
 
-// Guards against an item that left and came back between two calls of a host,
-// and is taken away there.
+// Guards against an item that was removed and added again between two calls of
+// a replica, and is then missing in the replica.
 Test(versioned_list, delta_holds_only_the_last_state_of_an_item) {
   Source source;
   source.Set({Host("x"), Host("y")}, 1);
@@ -65,15 +65,15 @@
   cr_expect(delta.removed.empty());
 }
 
-// Guards against changes to a list of another process, which counts anew.
+// Guards against applying changes to a list of another process, whose revisions
+// are unrelated.
 Test(versioned_list, unknown_revision_gets_the_full_list) {
   Source source;
   source.Set(Hosts(3), 5);
   cr_expect(source.DeltaSince(9).is_full);
 }
 
-// The pattern: hundreds of hosts of which some come and go all the time, and
-// followers that lag by any number of changes.
+// Hosts join and leave all the time, and replicas lag by any number of changes.
 Test(versioned_list, lagging_replicas_converge_to_the_same_list) {
   std::mt19937 random(1);
   Source source;
--- a/knapweedroad/registry/watch_messages.h
+++ b/knapweedroad/registry/watch_messages.h
@@ -1,7 +1,9 @@
-// How hosts follow a control host: one call that waits for news.
+// The messages by which hosts follow a control host: a long-polling call that
+// returns when there are changes.
 //
 //   WatchCall call{.follower = name, .epoch = epoch, .revision = revision};
-//   WatchReply reply = ...;   // at once if there is news, else after a while
+//   WatchReply reply = ...;  // at once if there are changes, else after a
+//   while
 
 #ifndef KNAPWEEDROAD_REGISTRY_WATCH_MESSAGES_H_
 #define KNAPWEEDROAD_REGISTRY_WATCH_MESSAGES_H_
@@ -21,25 +23,27 @@
 struct WatchCall {
   HostId follower;
   FollowerRole role = FollowerRole::kEntry;
-  // Of an entry host.
+  // The zone and address of the follower, if it is an entry host.
   ZoneId zone;
   Endpoint peer_address;
-  // Of the control host's process that the last reply came from; zero: none.
+  // Identifies the control host process that sent the last reply; zero if none
+  // did.
   uint64_t epoch = 0;
-  // What the follower has of it: targets, and the list of hosts.
+  // The revisions that the follower has received: of the targets, and of the
+  // list of hosts.
   uint64_t revision = 0;
   uint64_t hosts_revision = 0;
-  // The agreed version that the follower has in force.
+  // The version of the agreed state that the follower applies.
   uint64_t agreed_version = 0;
-  // Whether the follower is an entry host of the same zone: only those share
-  // what they see, as a target may do well for one zone and not for another.
+  // Whether the follower is an entry host of the same zone. Only these share
+  // outcomes, as a target may work for one zone and not for another.
   bool shares_outcomes = false;
-  // What the follower has of the list of outliers, and whether it was
-  // told that the zone is cut off.
+  // The revision of the list of outliers that the follower has, and the values
+  // of WatchReply::is_cut_off and has_full_view that it last received.
   uint64_t outliers_revision = 0;
   bool received_is_cut_off = false;
   bool received_has_full_view = false;
-  // What it has seen since its last call.
+  // The outcomes recorded since its last call.
   std::vector<TargetOutcomes> outcomes;
 
   // For cereal.
@@ -68,28 +72,32 @@
 };
 
 struct WatchReply {
-  // Of the control host that replies.
+  // The zone of the control host that replies.
   ZoneId zone;
   uint64_t epoch = 0;
   uint64_t revision = 0;
   uint64_t hosts_revision = 0;
-  // Known to this control host; pulled with PullCall where it is newer.
+  // The newest agreed version at this control host. The follower fetches it
+  // with PullCall if it is newer than its own.
   uint64_t agreed_version = 0;
   std::vector<TargetRecord> targets;
-  // Absent where the follower has this list.
+  // False if the follower already has this revision; the lists of hosts are
+  // then empty.
   bool has_hosts = false;
   std::vector<ControlHostRecord> control_hosts;
-  // For control hosts the entry hosts that follow this control host itself, for
-  // entry hosts all that it has heard of.
+  // In a reply to a control host, the entry hosts that follow the sender
+  // itself; in a reply to an entry host, all known entry hosts.
   ListDelta<EntryHostRecord, HostId> entry_hosts;
-  // Whether this control host has lost those of all other zones.
+  // Whether this control host is disconnected from those of all other zones.
   bool is_cut_off = false;
-  // Whether it hears all other control hosts, so that its news is whole.
+  // Whether it reaches all other control hosts, so that its information is
+  // complete.
   bool has_full_view = false;
   // Whether a quorum of the replicas answers it.
   bool has_quorum = false;
-  // Absent where the follower has this list, or doesn't share outcomes. For
-  // entry hosts all that is listed; for control hosts what this zone has seen.
+  // False if the follower already has this revision, or doesn't share outcomes.
+  // `outliers` holds all listed targets for an entry host, and those that this
+  // zone detected for a control host.
   bool has_outliers = false;
   uint64_t outliers_revision = 0;
   ListDelta<TargetOutlier, TargetId> outliers;
@@ -106,7 +114,7 @@
 };
 
 struct PullCall {
-  // Only a version above this one is wanted.
+  // Only a version above this one is returned.
   uint64_t held_version = 0;
 
   // For cereal.
@@ -118,7 +126,7 @@
 
 struct PullReply {
   uint64_t agreed_version = 0;
-  // Empty where there is nothing newer.
+  // Empty if there is no newer version.
   std::string agreed_text;
 
   // For cereal.
