--- a/knapweedroad/registry/control_host_selection.h
+++ b/knapweedroad/registry/control_host_selection.h
@@ -42,9 +42,10 @@
 };
 
 // Returns the selected hosts in order of preference. The selection ends at the
-// first live host that has a full view; preferred hosts before it are selected
-// too and so are retried. If none of the selected hosts has a quorum, the first
-// live candidate that has one is added.
+// first live host that has a full view and has not failed recently, or at the
+// maximum; preferred hosts before it are selected too and so are retried. If
+// none of the selected hosts has a quorum, the first live candidate that has
+// one is added.
 //
 // One control host of the own zone is enough while it has a full view:
 // following several delivers each change several times, mostly across zones.
--- a/knapweedroad/registry/outlier_detector_test.cc
+++ b/knapweedroad/registry/outlier_detector_test.cc
@@ -31,8 +31,8 @@
 }
 
 // Dozens of hosts each query a target once in two seconds, and it refuses every
-// second request. Each host sees too few refusals to avoid the target; the
-// combined reports show it at once.
+// second request. Each host sees one or two refusals, too few to avoid the
+// target; the combined reports show it at once.
 Test(outlier_detector, target_that_refuses_many_hosts_is_listed) {
   OutlierDetector detector;
   for (int host = 0; host < 8; ++host) {
@@ -179,9 +179,9 @@
 
 const HostId kRemoteControlHost("control-of-another-zone");
 
-// A target of another zone becomes slow. The hosts of this zone query it too
-// rarely to detect it, and with dozens of shards nearly every scatter waits for
-// one such target until its own zone reports it.
+// A target of another zone becomes slow. The hosts of this zone together query
+// it once a second, too rarely to detect it, and with dozens of shards nearly
+// every scatter waits for one such target until its own zone reports it.
 Test(outlier_detector, outliers_of_another_zone_are_listed) {
   OutlierDetector detector;
   AddReport(detector, {Answered("far", 2, 90'000)}, kStart);
