--- a/knapweedroad/registry/versioned_list_test.cc
+++ b/knapweedroad/registry/versioned_list_test.cc
@@ -73,8 +73,8 @@
   cr_expect(source.DeltaSince(9).is_full);
 }
 
-// Some of many hosts join and leave all the time, in production hundreds of
-// them, and replicas lag by any number of changes.
+// Of hundreds of hosts, some join and leave all the time, and replicas lag by
+// any number of changes.
 Test(versioned_list, lagging_replicas_converge_to_the_same_list) {
   std::mt19937 random(1);
   Source source;
