--- a/knapweedroad/load/call_source.cc
+++ b/knapweedroad/load/call_source.cc
@@ -78,7 +78,7 @@
   call.limit = plan.limit;
   call.deadline = plan.deadline;
   const auto subject =
-      static_cast<uint64_t>(Uniform(stream.random) * plan.subjects);
+      static_cast<uint64_t>(Uniform(stream.random) * plan.distinct_subjects);
   if (plan.is_search) {
     call.kind = CallKind::kQuery;
     call.subject = "query " + std::to_string(subject);
@@ -88,8 +88,8 @@
     call.subject = "r-" + std::to_string(subject);
     call.idempotency_key = is_lookup ? "k-" + unique : "";
   }
-  if (Uniform(stream.random) < plan.leave_share) {
-    planned.leaves_after = std::chrono::duration_cast<Duration>(
+  if (Uniform(stream.random) < plan.cancel_share) {
+    planned.cancel_after = std::chrono::duration_cast<Duration>(
         plan.deadline * Uniform(stream.random));
   }
   return planned;
--- a/knapweedroad/load/call_source.h
+++ b/knapweedroad/load/call_source.h
@@ -29,7 +29,7 @@
   // Without an answer yet.
   CallRecord call;
   // The caller leaves this long after the send.
-  std::optional<Duration> leaves_after;
+  std::optional<Duration> cancel_after;
 };
 
 class CallSource {
--- a/knapweedroad/load/caller.cc
+++ b/knapweedroad/load/caller.cc
@@ -12,9 +12,9 @@
 namespace knapweedroad {
 namespace {
 
-constexpr size_t kConnectionsToAHost = 2000;
+constexpr size_t kMaxConnectionsPerHost = 2000;
 // How long after its deadline a late answer is still waited for.
-constexpr Duration kGrace = std::chrono::seconds(1);
+constexpr Duration kLateAnswerWait = std::chrono::seconds(1);
 
 HttpRequest MakeRequest(const CallRecord& call) {
   HttpRequest request{.method = "POST"};
@@ -73,7 +73,7 @@
   for (const Endpoint& endpoint : hosts) {
     this->hosts.push_back(std::make_unique<HttpClient>(
         runtime, HttpClientOptions{.endpoint = endpoint,
-                                   .max_connections = kConnectionsToAHost}));
+                                   .max_connections = kMaxConnectionsPerHost}));
   }
 }
 
@@ -81,19 +81,19 @@
 
 void Caller::Send(CallRecord& call,
                   TimePoint due_at,
-                  std::optional<Duration> leaves_after) {
+                  std::optional<Duration> cancel_after) {
   HttpClient& host = *this->hosts[this->next_host];
   this->next_host = (this->next_host + 1) % this->hosts.size();
   const auto cancel = std::make_shared<HttpCancel>();
-  if (leaves_after) {
-    this->runtime->Spawn([cancel, after = *leaves_after] {
+  if (cancel_after) {
+    this->runtime->Spawn([cancel, after = *cancel_after] {
       Runtime::SleepFor(after);
       cancel->Cancel();
     });
   }
-  auto answer =
-      host.Send(MakeRequest(call), Runtime::Now() + call.deadline + kGrace,
-                {.cancel = cancel.get()});
+  auto answer = host.Send(MakeRequest(call),
+                          Runtime::Now() + call.deadline + kLateAnswerWait,
+                          {.cancel = cancel.get()});
   call.latency = Runtime::Now() - due_at;
   if (answer) {
     call.status = answer->status;
--- a/knapweedroad/load/caller.h
+++ b/knapweedroad/load/caller.h
@@ -1,7 +1,7 @@
 // Sends calls to the hosts' caller addresses, each to the next host.
 //
 //   Caller caller(runtime, hosts);
-//   caller.Send(call, due_at, leaves_after);
+//   caller.Send(call, due_at, cancel_after);
 
 #ifndef KNAPWEEDROAD_LOAD_CALLER_H_
 #define KNAPWEEDROAD_LOAD_CALLER_H_
@@ -25,10 +25,10 @@
   ~Caller();
 
   // Blocks the calling fiber; fills the call's answer, and its latency since
-  // `due_at`. The caller leaves `leaves_after` the send, where given.
+  // `due_at`. The caller leaves `cancel_after` the send, where given.
   void Send(CallRecord& call,
             TimePoint due_at,
-            std::optional<Duration> leaves_after);
+            std::optional<Duration> cancel_after);
 
  private:
   Runtime* runtime;
--- a/knapweedroad/load/load_command.cc
+++ b/knapweedroad/load/load_command.cc
@@ -81,7 +81,7 @@
   }
   LoadRunOptions run{.plan = std::move(*plan),
                      .run = options.run.empty() ? RunName() : options.run,
-                     .warms_targets = options.warms_targets};
+                     .warm_up_targets = options.warm_up_targets};
   if (!ReadAddresses("callers", options.callers, run.callers) ||
       !ReadAddresses("operators", options.operators, run.operators) ||
       !ReadAddresses("controls", options.controls, run.controls)) {
@@ -120,7 +120,7 @@
   if (!WriteOutputs(options, report)) {
     return kLoadExitUsage;
   }
-  return report.HasBrokenPromise() ? kLoadExitBroken : kLoadExitKept;
+  return report.HasViolation() ? kLoadExitViolation : kLoadExitOk;
 }
 
 int RunLoadCompareCommand(const std::string& first_file,
@@ -136,7 +136,7 @@
     return kLoadExitUsage;
   }
   std::cout << *compared;
-  return kLoadExitKept;
+  return kLoadExitOk;
 }
 
 int RunLoadPlotCommand(const std::string& file, const std::string& image) {
@@ -150,7 +150,7 @@
     return kLoadExitUsage;
   }
   std::cout << *plot;
-  return kLoadExitKept;
+  return kLoadExitOk;
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/load/load_command.h
+++ b/knapweedroad/load/load_command.h
@@ -22,7 +22,7 @@
   // Multiplies every rate of the scenario.
   double rate_scale = 1.0;
   // Ends all cold starts first: for hosts that can't.
-  bool warms_targets = false;
+  bool warm_up_targets = false;
   // Files to write, where given: the report, and a gnuplot script that draws
   // it into `plot_image`.
   std::string json_file;
@@ -30,12 +30,12 @@
   std::string plot_image = "load.png";
 };
 
-inline constexpr int kLoadExitKept = 0;
-inline constexpr int kLoadExitBroken = 1;
+inline constexpr int kLoadExitOk = 0;
+inline constexpr int kLoadExitViolation = 1;
 inline constexpr int kLoadExitUsage = 2;
 
-// Runs the scenario and prints the report. The exit code: kLoadExitBroken where
-// the run saw a promise broken, kLoadExitUsage where a file or address is
+// Runs the scenario and prints the report. The exit code: kLoadExitViolation
+// where the run saw a promise broken, kLoadExitUsage where a file or address is
 // wrong.
 int RunLoadCommand(const LoadCommandOptions& options);
 
--- a/knapweedroad/load/load_plan.cc
+++ b/knapweedroad/load/load_plan.cc
@@ -30,18 +30,18 @@
                     Errors& errors,
                     FrontTruth& front) {
   PlanFields fields(object, place, errors);
-  const uint32_t number = fields.Whole("number", 1);
+  const uint32_t number = fields.UnsignedInteger("number", 1);
   const std::string prefix = fields.RequiredText("prefix");
-  const uint32_t services = fields.Whole("services", 0);
-  const uint32_t units = fields.Whole("units", 0);
+  const uint32_t services = fields.UnsignedInteger("services", 0);
+  const uint32_t units = fields.UnsignedInteger("units", 0);
   if (services == 0 || units == 0) {
-    fields.Fail("services", "services and units are needed, above zero");
+    fields.AddError("services", "services and units are needed, above zero");
   }
   for (uint32_t index = 1; index <= services; ++index) {
     const ServiceId service(prefix + std::to_string(index));
     front.units[number][service] = units;
   }
-  fields.Finish();
+  fields.ReportUnknownFields();
 }
 
 FrontTruth ReadFront(const json& object,
@@ -54,7 +54,7 @@
     ReadGeneration(*generation, At(place + "/generations", index++), errors,
                    front);
   }
-  fields.Finish();
+  fields.ReportUnknownFields();
   return front;
 }
 
@@ -65,7 +65,7 @@
   CallerMix mix{.tenant = TenantId(fields.RequiredText("tenant")),
                 .request_class = fields.Text("class", "normal"),
                 .share = fields.Number("share", 1.0)};
-  fields.Finish();
+  fields.ReportUnknownFields();
   return mix;
 }
 
@@ -79,37 +79,38 @@
   const std::string kind = fields.Text("kind", "search");
   stream.is_search = kind == "search";
   if (kind != "search" && kind != "records") {
-    fields.Fail("kind", "expected \"search\" or \"records\"");
+    fields.AddError("kind", "expected \"search\" or \"records\"");
   }
   stream.rate_per_second = fields.RequiredNumber("rate_per_s");
   stream.from = fields.Milliseconds("from_ms", Duration::zero());
   stream.until = fields.Milliseconds("until_ms", run);
   if (stream.until <= stream.from || stream.until > run) {
-    fields.Fail("until_ms", "expected after from_ms and within the run");
+    fields.AddError("until_ms", "expected after from_ms and within the run");
   }
   stream.deadline = fields.RequiredMilliseconds("deadline_ms");
-  stream.limit = fields.Whole("limit", kDefaultLimit);
-  stream.subjects = fields.Whole("subjects", kDefaultSubjects);
-  if (stream.subjects == 0) {
-    fields.Fail("subjects", "expected one or more");
+  stream.limit = fields.UnsignedInteger("limit", kDefaultLimit);
+  stream.distinct_subjects =
+      fields.UnsignedInteger("subjects", kDefaultSubjects);
+  if (stream.distinct_subjects == 0) {
+    fields.AddError("subjects", "expected one or more");
   }
   stream.lookup_share = fields.Share("lookup_share", 0.0);
-  stream.leave_share = fields.Share("leave_share", 0.0);
+  stream.cancel_share = fields.Share("leave_share", 0.0);
   size_t index = 0;
   for (const json* caller : fields.Elements("callers", true)) {
     stream.callers.push_back(
         ReadCaller(*caller, At(place + "/callers", index++), errors));
   }
-  fields.Finish();
+  fields.ReportUnknownFields();
   return stream;
 }
 
 void ReadZoneChange(PlanFields& fields, TimelineEvent& event) {
   event.zone = ZoneId(fields.RequiredText("zone"));
   const std::string direction = fields.Text("take", "out");
-  event.zone_out = direction == "out";
+  event.take_zone_out = direction == "out";
   if (direction != "out" && direction != "in") {
-    fields.Fail("take", "expected \"out\" or \"in\"");
+    fields.AddError("take", "expected \"out\" or \"in\"");
   }
 }
 
@@ -118,18 +119,18 @@
   if (fields.Has("target_zone")) {
     event.target_zone = ZoneId(fields.RequiredText("target_zone"));
   }
-  event.every = fields.Whole("every", 1);
+  event.every = fields.UnsignedInteger("every", 1);
   if (event.every == 0) {
-    fields.Fail("every", "expected one or more");
+    fields.AddError("every", "expected one or more");
   }
   const json* fault = fields.Find("send");
   if (fault == nullptr) {
-    fields.Fail("send", "a fault to send, or a zone to take out or in");
+    fields.AddError("send", "a fault to send, or a zone to take out or in");
     return;
   }
   event.fault = fault->dump();
   if (const auto parsed = ParseStandInFault(event.fault); !parsed) {
-    fields.Fail("send", parsed.error());
+    fields.AddError("send", parsed.error());
   }
 }
 
@@ -144,7 +145,7 @@
   } else {
     ReadFaultOrder(fields, event);
   }
-  fields.Finish();
+  fields.ReportUnknownFields();
   return event;
 }
 
@@ -167,12 +168,12 @@
   PlanFields fields(object, "", errors);
   LoadPlan plan;
   plan.name = fields.RequiredText("name");
-  plan.seed = fields.Whole("seed", 1);
+  plan.seed = fields.UnsignedInteger("seed", 1);
   plan.duration = fields.RequiredMilliseconds("duration_ms");
   plan.warm_up = fields.Milliseconds("warm_up_ms", Duration::zero());
   plan.max_outstanding =
-      fields.Whole("max_outstanding", kDefaultMaxOutstanding);
-  plan.resends = fields.Whole("resends", kDefaultResends);
+      fields.UnsignedInteger("max_outstanding", kDefaultMaxOutstanding);
+  plan.resends = fields.UnsignedInteger("resends", kDefaultResends);
   size_t index = 0;
   for (const json* front : fields.Elements("fronts", true)) {
     plan.fronts.push_back(ReadFront(*front, At("/fronts", index++), errors));
@@ -187,7 +188,7 @@
     plan.timeline.push_back(
         ReadEvent(*event, At("/timeline", index++), errors));
   }
-  fields.Finish();
+  fields.ReportUnknownFields();
   CheckStreamFronts(plan, errors);
   return plan;
 }
--- a/knapweedroad/load/load_plan.h
+++ b/knapweedroad/load/load_plan.h
@@ -44,11 +44,11 @@
   // Of searches: the most hits asked for.
   uint32_t limit = 100;
   // Different queries or records that are asked for.
-  uint32_t subjects = 1000;
+  uint32_t distinct_subjects = 1000;
   // Of record fronts: the share of keyed lookups.
   double lookup_share = 0.0;
   // The share of callers that leave before their answer comes.
-  double leave_share = 0.0;
+  double cancel_share = 0.0;
 };
 
 // Something done to the deployment during a run.
@@ -62,7 +62,7 @@
   uint32_t every = 1;
   // Or a zone that operators take out or in.
   std::optional<ZoneId> zone;
-  bool zone_out = false;
+  bool take_zone_out = false;
 };
 
 struct LoadPlan {
--- a/knapweedroad/load/load_report.cc
+++ b/knapweedroad/load/load_report.cc
@@ -23,7 +23,7 @@
   return {{"calls", group.calls},
           {"answered", group.answered},
           {"in_time", group.in_time},
-          {"whole_in_time", group.whole_in_time},
+          {"whole_in_time", group.complete_in_time},
           {"refused", group.refused},
           {"failed", group.failed},
           {"answers", ToJson(group.answers)},
@@ -41,7 +41,7 @@
 ordered_json ToJson(const CoverageReport& coverage) {
   return {{"lowest", coverage.lowest},
           {"mean", coverage.mean},
-          {"whole_share", coverage.whole_share},
+          {"whole_share", coverage.complete_share},
           {"answers", coverage.answers}};
 }
 
@@ -67,7 +67,7 @@
           {"expired", targets.expired},
           {"falls_cold", targets.falls_cold},
           {"falls_over", targets.falls_over},
-          {"least_needed", targets.least_needed},
+          {"least_needed", targets.min_sub_requests},
           {"extra_load", targets.extra_load},
           {"peak_in_flight", targets.peak_in_flight},
           {"peak_in_flight_cold", targets.peak_in_flight_cold},
@@ -93,7 +93,7 @@
     list.push_back({{"second", second.second},
                     {"calls", second.calls},
                     {"answered", second.answered},
-                    {"whole", second.whole},
+                    {"whole", second.complete},
                     {"refused", second.refused},
                     {"failed", second.failed},
                     {"p50_ms", second.p50_ms},
@@ -148,8 +148,8 @@
 
 }  // namespace
 
-bool LoadReport::HasBrokenPromise() const {
-  if (!this->broken.empty()) {
+bool LoadReport::HasViolation() const {
+  if (!this->violations.empty()) {
     return true;
   }
   const std::string unavoidable(ToString(ViolationKind::kOverColdLimitUnknown));
@@ -161,16 +161,16 @@
 }
 
 TargetsReport SumTargets(const std::vector<TargetCounts>& counts,
-                         uint64_t least_needed) {
+                         uint64_t min_sub_requests) {
   TargetsReport sum;
   for (const TargetCounts& target : counts) {
     AddTarget(target, sum);
   }
-  sum.least_needed = least_needed;
-  if (least_needed > 0) {
-    sum.extra_load =
-        static_cast<double>(sum.received) / static_cast<double>(least_needed) -
-        1.0;
+  sum.min_sub_requests = min_sub_requests;
+  if (min_sub_requests > 0) {
+    sum.extra_load = static_cast<double>(sum.received) /
+                         static_cast<double>(min_sub_requests) -
+                     1.0;
   }
   return sum;
 }
@@ -192,8 +192,8 @@
                                 {{"present", report.retry_after_present},
                                  {"absent", report.retry_after_absent}}},
                                {"answers_checked", report.answers_checked},
-                               {"broken", report.broken},
-                               {"first_broken", report.first_broken},
+                               {"broken", report.violations},
+                               {"first_broken", report.first_violations},
                                {"targets", ToJson(report.targets)},
                                {"generator", ToJson(report.generator)},
                                {"seconds", ToJson(report.seconds)}};
--- a/knapweedroad/load/load_report.h
+++ b/knapweedroad/load/load_report.h
@@ -28,7 +28,7 @@
   // 200, and 404 of a record that isn't there.
   uint64_t answered = 0;
   // Answered with the whole index, by the deadline.
-  uint64_t whole_in_time = 0;
+  uint64_t complete_in_time = 0;
   uint64_t in_time = 0;
   uint64_t refused = 0;
   // No answer at all: cut off, or given up by the generator.
@@ -41,7 +41,7 @@
   uint32_t second = 0;
   uint64_t calls = 0;
   uint64_t answered = 0;
-  uint64_t whole = 0;
+  uint64_t complete = 0;
   uint64_t refused = 0;
   uint64_t failed = 0;
   double p50_ms = 0.0;
@@ -53,7 +53,7 @@
   std::map<std::string, uint64_t> answers;
   double lowest = 0.0;
   double mean = 0.0;
-  double whole_share = 0.0;
+  double complete_share = 0.0;
 };
 
 // One target, as it counted for itself.
@@ -78,7 +78,7 @@
   uint64_t falls_over = 0;
   // Sub-requests that the answers needed at least; those received above it as
   // a share of it.
-  uint64_t least_needed = 0;
+  uint64_t min_sub_requests = 0;
   double extra_load = 0.0;
   // The worst of all targets, and how many passed what they bear.
   uint32_t peak_in_flight = 0;
@@ -120,19 +120,19 @@
   uint64_t retry_after_present = 0;
   uint64_t retry_after_absent = 0;
   uint64_t answers_checked = 0;
-  std::map<std::string, uint64_t> broken;
-  std::vector<std::string> first_broken;
+  std::map<std::string, uint64_t> violations;
+  std::vector<std::string> first_violations;
   TargetsReport targets;
   GeneratorReport generator;
   std::vector<SecondReport> seconds;
 
   // Whether the run saw a promise broken, to callers or to targets.
-  bool HasBrokenPromise() const;
+  bool HasViolation() const;
 };
 
-// Adds up what each target counted; `least_needed` as in TargetsReport.
+// Adds up what each target counted; `min_sub_requests` as in TargetsReport.
 TargetsReport SumTargets(const std::vector<TargetCounts>& counts,
-                         uint64_t least_needed);
+                         uint64_t min_sub_requests);
 
 std::string WriteJson(const LoadReport& report);
 std::string WriteText(const LoadReport& report);
--- a/knapweedroad/load/load_tally.cc
+++ b/knapweedroad/load/load_report_builder.cc
@@ -1,4 +1,4 @@
-#include "knapweedroad/load/load_tally.h"
+#include "knapweedroad/load/load_report_builder.h"
 
 #include <algorithm>
 #include <array>
@@ -46,7 +46,7 @@
   return coverage;
 }
 
-bool IsWhole(const CallRecord& call) {
+bool IsComplete(const CallRecord& call) {
   return IsAnswer(call) && CoverageOf(call) >= 1.0;
 }
 
@@ -74,15 +74,15 @@
 
 }  // namespace
 
-LoadTally::LoadTally(const LoadPlan& plan) : plan(&plan) {
+LoadReportBuilder::LoadReportBuilder(const LoadPlan& plan) : plan(&plan) {
   this->report.scenario = plan.name;
   this->report.seed = plan.seed;
   this->report.duration_s = Seconds(plan.duration - plan.warm_up);
   this->report.coverage.lowest = 1.0;
 }
 
-void LoadTally::Add(const CallRecord& call, Duration at) {
-  this->AddNeeded(call);
+void LoadReportBuilder::Add(const CallRecord& call, Duration at) {
+  this->AddRequiredSubRequests(call);
   this->AddToSecond(call, at);
   if (at < this->plan->warm_up) {
     return;
@@ -95,7 +95,7 @@
   this->AddCoverage(call);
 }
 
-void LoadTally::AddTo(Group& group, const CallRecord& call) const {
+void LoadReportBuilder::AddTo(Group& group, const CallRecord& call) const {
   GroupReport& counts = group.counts;
   ++counts.calls;
   if (call.status == 0) {
@@ -111,10 +111,10 @@
   group.answers.Add(call.latency);
   const bool is_in_time = call.latency <= call.deadline;
   counts.in_time += is_in_time ? 1 : 0;
-  counts.whole_in_time += is_in_time && IsWhole(call) ? 1 : 0;
+  counts.complete_in_time += is_in_time && IsComplete(call) ? 1 : 0;
 }
 
-void LoadTally::AddToSecond(const CallRecord& call, Duration at) {
+void LoadReportBuilder::AddToSecond(const CallRecord& call, Duration at) {
   const auto index = static_cast<uint32_t>(Seconds(at));
   Second& second = this->seconds[index];
   second.counts.second = index;
@@ -125,12 +125,12 @@
     ++second.counts.refused;
   } else {
     ++second.counts.answered;
-    second.counts.whole += IsWhole(call) ? 1 : 0;
+    second.counts.complete += IsComplete(call) ? 1 : 0;
     second.answers.Add(call.latency);
   }
 }
 
-void LoadTally::AddStatus(const CallRecord& call) {
+void LoadReportBuilder::AddStatus(const CallRecord& call) {
   if (call.status == 0) {
     ++this->report.statuses["none " + call.failure];
     return;
@@ -150,12 +150,12 @@
     return;
   }
   ++this->report.refusals[TitleOf(call)];
-  const bool says_when = !FindHeader(call.headers, "Retry-After").empty();
-  ++(says_when ? this->report.retry_after_present
-               : this->report.retry_after_absent);
+  const bool has_retry_after = !FindHeader(call.headers, "Retry-After").empty();
+  ++(has_retry_after ? this->report.retry_after_present
+                     : this->report.retry_after_absent);
 }
 
-void LoadTally::AddCoverage(const CallRecord& call) {
+void LoadReportBuilder::AddCoverage(const CallRecord& call) {
   if (call.kind != CallKind::kQuery || call.status != kStatusAnswered) {
     return;
   }
@@ -170,15 +170,15 @@
       std::min(this->report.coverage.lowest, coverage);
   this->coverage_sum += coverage;
   ++this->coverage_count;
-  this->whole_count += coverage >= 1.0 ? 1 : 0;
+  this->complete_count += coverage >= 1.0 ? 1 : 0;
 }
 
-void LoadTally::AddNeeded(const CallRecord& call) {
+void LoadReportBuilder::AddRequiredSubRequests(const CallRecord& call) {
   if (!IsAnswer(call)) {
     return;
   }
   if (call.kind != CallKind::kQuery) {
-    ++this->needed;
+    ++this->required_sub_requests;
     return;
   }
   const auto front = std::find_if(
@@ -192,40 +192,43 @@
   }
   const auto units = front->units.find(snapshot->generation);
   if (units != front->units.end() && body.contains("missing_services")) {
-    this->needed += units->second.size() - body["missing_services"].size();
+    this->required_sub_requests +=
+        units->second.size() - body["missing_services"].size();
   }
 }
 
-LoadReport LoadTally::Report() const {
-  LoadReport whole = this->report;
-  whole.total = Summarize(this->total);
-  whole.by_front = Summarize(this->by_front);
-  whole.by_class = Summarize(this->by_class);
-  whole.by_tenant = Summarize(this->by_tenant);
+LoadReport LoadReportBuilder::Report() const {
+  LoadReport result = this->report;
+  result.total = Summarize(this->total);
+  result.by_front = Summarize(this->by_front);
+  result.by_class = Summarize(this->by_class);
+  result.by_tenant = Summarize(this->by_tenant);
   if (this->coverage_count > 0) {
     const auto count = static_cast<double>(this->coverage_count);
-    whole.coverage.mean = this->coverage_sum / count;
-    whole.coverage.whole_share = static_cast<double>(this->whole_count) / count;
+    result.coverage.mean = this->coverage_sum / count;
+    result.coverage.complete_share =
+        static_cast<double>(this->complete_count) / count;
   } else {
-    whole.coverage.lowest = 0.0;
+    result.coverage.lowest = 0.0;
   }
   for (const auto& [index, second] : this->seconds) {
     SecondReport row = second.counts;
     row.p50_ms = second.answers.QuantileMs(0.5);
     row.p99_ms = second.answers.QuantileMs(0.99);
-    whole.seconds.push_back(row);
+    result.seconds.push_back(row);
   }
-  return whole;
+  return result;
 }
 
-GroupReport LoadTally::Summarize(const Group& group) {
+GroupReport LoadReportBuilder::Summarize(const Group& group) {
   GroupReport summary = group.counts;
   summary.answers = Summary(group.answers);
   summary.refusals = Summary(group.refusals);
   return summary;
 }
 
-std::map<std::string, GroupReport> LoadTally::Summarize(const Groups& groups) {
+std::map<std::string, GroupReport> LoadReportBuilder::Summarize(
+    const Groups& groups) {
   std::map<std::string, GroupReport> summaries;
   for (const auto& [name, group] : groups) {
     summaries[name] = Summarize(group);
--- a/knapweedroad/load/load_tally.h
+++ b/knapweedroad/load/load_report_builder.h
@@ -1,11 +1,11 @@
 // Collects the ended calls of a run into a report.
 //
-//   LoadTally tally(plan);
+//   LoadReportBuilder tally(plan);
 //   tally.Add(call, planned_at);
 //   LoadReport report = tally.Report();
 
-#ifndef KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
-#define KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
+#ifndef KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
+#define KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
 
 #include <cstdint>
 #include <map>
@@ -20,10 +20,10 @@
 struct CallRecord;
 struct LoadPlan;
 
-class LoadTally {
+class LoadReportBuilder {
  public:
   // The plan outlives this.
-  explicit LoadTally(const LoadPlan& plan);
+  explicit LoadReportBuilder(const LoadPlan& plan);
 
   // A call has ended that was planned at `at` since the run's start.
   void Add(const CallRecord& call, Duration at);
@@ -33,7 +33,7 @@
   LoadReport Report() const;
 
   // Sub-requests that all answers so far needed at least.
-  uint64_t least_needed() const { return this->needed; }
+  uint64_t min_sub_requests() const { return this->required_sub_requests; }
 
  private:
   struct Group {
@@ -51,7 +51,7 @@
   void AddToSecond(const CallRecord& call, Duration at);
   void AddStatus(const CallRecord& call);
   void AddCoverage(const CallRecord& call);
-  void AddNeeded(const CallRecord& call);
+  void AddRequiredSubRequests(const CallRecord& call);
   static GroupReport Summarize(const Group& group);
   static std::map<std::string, GroupReport> Summarize(const Groups& groups);
 
@@ -64,10 +64,10 @@
   LoadReport report;
   double coverage_sum = 0.0;
   uint64_t coverage_count = 0;
-  uint64_t whole_count = 0;
-  uint64_t needed = 0;
+  uint64_t complete_count = 0;
+  uint64_t required_sub_requests = 0;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
+#endif  // KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
--- a/knapweedroad/load/load_tally_test.cc
+++ b/knapweedroad/load/load_report_builder_test.cc
@@ -1,4 +1,4 @@
-#include "knapweedroad/load/load_tally.h"
+#include "knapweedroad/load/load_report_builder.h"
 
 #include <criterion/criterion.h>
 
@@ -47,16 +47,16 @@
   cr_assert_eq(histogram.max_ms(), 10000);
 }
 
-Test(LoadTally, TellsLateAndPartialAnswersFromGoodOnes) {
+Test(LoadReportBuilder, TellsLateAndPartialAnswersFromGoodOnes) {
   const LoadPlan plan = Plan();
-  LoadTally tally(plan);
-  tally.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
-  tally.Add(Answer(milliseconds(600), "1.0000"), seconds(2));
-  tally.Add(Answer(milliseconds(100), "0.5000"), seconds(3));
-  const LoadReport report = tally.Report();
+  LoadReportBuilder report_builder(plan);
+  report_builder.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
+  report_builder.Add(Answer(milliseconds(600), "1.0000"), seconds(2));
+  report_builder.Add(Answer(milliseconds(100), "0.5000"), seconds(3));
+  const LoadReport report = report_builder.Report();
   cr_assert_eq(report.total.answered, 3);
   cr_assert_eq(report.total.in_time, 2);
-  cr_assert_eq(report.total.whole_in_time, 1);
+  cr_assert_eq(report.total.complete_in_time, 1);
   cr_assert_eq(report.by_class.at("urgent").calls, 3);
   cr_assert_eq(report.coverage.answers.at("1.0"), 2);
   cr_assert_eq(report.coverage.lowest, 0.5);
@@ -64,19 +64,20 @@
   cr_assert_eq(report.seconds.size(), 2);
 }
 
-Test(LoadTally, LeavesTheWarmUpOutOfTheFigures) {
+Test(LoadReportBuilder, LeavesTheWarmUpOutOfTheFigures) {
   const LoadPlan plan = Plan();
-  LoadTally tally(plan);
-  tally.Add(Answer(milliseconds(100), "1.0000"), milliseconds(999));
-  cr_assert_eq(tally.Report().total.calls, 0);
-  cr_assert_eq(tally.least_needed(), 2);
+  LoadReportBuilder report_builder(plan);
+  report_builder.Add(Answer(milliseconds(100), "1.0000"), milliseconds(999));
+  cr_assert_eq(report_builder.Report().total.calls, 0);
+  cr_assert_eq(report_builder.min_sub_requests(), 2);
 }
 
-Test(LoadTally, CountsCallsWithoutAnAnswer) {
+Test(LoadReportBuilder, CountsCallsWithoutAnAnswer) {
   const LoadPlan plan = Plan();
-  LoadTally tally(plan);
-  tally.Add({.front = FrontId("redactie"), .failure = "closed"}, seconds(2));
-  const LoadReport report = tally.Report();
+  LoadReportBuilder report_builder(plan);
+  report_builder.Add({.front = FrontId("redactie"), .failure = "closed"},
+                     seconds(2));
+  const LoadReport report = report_builder.Report();
   cr_assert_eq(report.total.failed, 1);
   cr_assert_eq(report.statuses.at("none closed"), 1);
 }
@@ -90,7 +91,7 @@
   report.targets = SumTargets({target}, 100);
   cr_assert_float_eq(report.targets.extra_load, 0.05, 1e-9);
   cr_assert_eq(report.targets.over_slots, 1);
-  cr_assert(report.HasBrokenPromise());
+  cr_assert(report.HasViolation());
 }
 
 Test(LoadReport, OverloadBeforeAnyEvidenceIsNoBrokenPromise) {
@@ -98,16 +99,16 @@
   target.counts.violations[ViolationKind::kOverColdLimitUnknown] = 1;
   LoadReport report;
   report.targets = SumTargets({target}, 0);
-  cr_assert(!report.HasBrokenPromise());
+  cr_assert(!report.HasViolation());
 }
 
 Test(ReportCompare, PutsTwoReportsSideBySide) {
   const LoadPlan plan = Plan();
-  LoadTally tally(plan);
-  tally.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
-  const std::string first = WriteJson(tally.Report());
-  tally.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
-  const std::string second = WriteJson(tally.Report());
+  LoadReportBuilder report_builder(plan);
+  report_builder.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
+  const std::string first = WriteJson(report_builder.Report());
+  report_builder.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
+  const std::string second = WriteJson(report_builder.Report());
   const auto compared = CompareReports(first, second);
   cr_assert(compared.has_value());
   cr_assert(compared->find("total.calls") != std::string::npos);
--- a/knapweedroad/load/load_report_text.cc
+++ b/knapweedroad/load/load_report_text.cc
@@ -27,7 +27,7 @@
                 const GroupReport& group) {
   out << std::left << std::setw(kNameWidth) << name << std::right;
   for (const uint64_t cell :
-       {group.calls, group.answered, group.in_time, group.whole_in_time,
+       {group.calls, group.answered, group.in_time, group.complete_in_time,
         group.refused, group.failed}) {
     out << std::setw(kCellWidth) << cell;
   }
@@ -69,7 +69,7 @@
       << "  sub-requests received " << targets.received << ", executed "
       << targets.executed << ", shed " << targets.shed << ", cancelled "
       << targets.cancelled << ", expired " << targets.expired << "\n"
-      << "  least needed " << targets.least_needed << ", extra load "
+      << "  least needed " << targets.min_sub_requests << ", extra load "
       << std::setprecision(2) << targets.extra_load * 100.0 << "%\n"
       << "  peak in flight " << targets.peak_in_flight << " ("
       << targets.over_slots << " targets over their slots), while cold "
@@ -95,7 +95,7 @@
   WriteTable(out, "answers by coverage", report.coverage.answers);
   out << std::setprecision(4) << "  lowest " << report.coverage.lowest
       << ", mean " << report.coverage.mean << ", whole "
-      << report.coverage.whole_share << " of the answers\n";
+      << report.coverage.complete_share << " of the answers\n";
   WriteTable(out, "statuses", report.statuses);
   WriteTable(out, "answers by snapshot", report.snapshots);
   WriteTable(out, "refusals", report.refusals);
@@ -105,8 +105,8 @@
   WriteTargets(out, report.targets);
   WriteTable(out, "broken promises to targets", report.targets.violations);
   WriteList(out, report.targets.first_violations);
-  WriteTable(out, "broken promises to callers", report.broken);
-  WriteList(out, report.first_broken);
+  WriteTable(out, "broken promises to callers", report.violations);
+  WriteList(out, report.first_violations);
   out << "  answers compared with the truth: " << report.answers_checked
       << "\n\ngenerator: not sent " << report.generator.skipped
       << ", worst lag " << report.generator.worst_lag_ms
--- a/knapweedroad/load/load_runner.cc
+++ b/knapweedroad/load/load_runner.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "knapweedroad/load/caller.h"
-#include "knapweedroad/load/load_tally.h"
+#include "knapweedroad/load/load_report_builder.h"
 #include "knapweedroad/load/open_loop.h"
 #include "knapweedroad/load/target_controls.h"
 #include "knapweedroad/load/timeline_runner.h"
@@ -15,13 +15,13 @@
 
 // For calls that are still unanswered, or events still under way, after the
 // last send.
-constexpr Duration kLongestEnd = std::chrono::seconds(30);
-constexpr Duration kPoll = std::chrono::milliseconds(10);
+constexpr Duration kMaxWaitAfterLastSend = std::chrono::seconds(30);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 // Between the last answer and the counts: work that nobody waits for any more
 // may still run on the targets.
-constexpr Duration kSettle = std::chrono::milliseconds(500);
+constexpr Duration kTargetDrainTime = std::chrono::milliseconds(500);
 
-bool HasNoCertainOutcome(const CallRecord& call) {
+bool IsOutcomeUnknown(const CallRecord& call) {
   if (call.status == 0) {
     return call.failure != "left";
   }
@@ -35,7 +35,7 @@
       : runtime(runtime),
         options(std::move(options)),
         loop(this->options.plan, this->options.run),
-        tally(this->options.plan),
+        report_builder(this->options.plan),
         checker(this->options.plan.fronts),
         caller(runtime, this->options.callers),
         controls(runtime, this->options.controls),
@@ -43,13 +43,13 @@
 
   void SendAll();
   void RunCall(PlannedCall planned);
-  void WaitForTheRest();
+  void WaitForOutstandingCalls();
   LoadReport MakeReport();
 
   Runtime& runtime;
   LoadRunOptions options;
   OpenLoop loop;
-  LoadTally tally;
+  LoadReportBuilder report_builder;
   HistoryChecker checker;
   Caller caller;
   TargetControls controls;
@@ -75,45 +75,46 @@
   const TimePoint due_at = this->start + planned.at;
   uint32_t resends = 0;
   while (true) {
-    this->caller.Send(call, due_at, planned.leaves_after);
+    this->caller.Send(call, due_at, planned.cancel_after);
     this->checker.Check(call);
-    const bool goes_on = call.kind == CallKind::kLookup &&
-                         HasNoCertainOutcome(call) &&
-                         resends < this->options.plan.resends;
-    if (!goes_on) {
+    const bool should_resend = call.kind == CallKind::kLookup &&
+                               IsOutcomeUnknown(call) &&
+                               resends < this->options.plan.resends;
+    if (!should_resend) {
       break;
     }
     ++resends;
     call.is_first_send = false;
     call.request_id = first_id + "-resend" + std::to_string(resends);
   }
-  this->tally.Add(call, planned.at);
+  this->report_builder.Add(call, planned.at);
   this->loop.OnEnded();
 }
 
-void LoadRunner::State::WaitForTheRest() {
-  const TimePoint last = Runtime::Now() + kLongestEnd;
+void LoadRunner::State::WaitForOutstandingCalls() {
+  const TimePoint last = Runtime::Now() + kMaxWaitAfterLastSend;
   while (Runtime::Now() < last &&
          (this->loop.outstanding() > 0 || !this->timeline.done())) {
-    Runtime::SleepFor(kPoll);
+    Runtime::SleepFor(kPollInterval);
   }
-  Runtime::SleepFor(kSettle);
+  Runtime::SleepFor(kTargetDrainTime);
 }
 
 LoadReport LoadRunner::State::MakeReport() {
   this->checker.CheckExecutions(this->controls.Executions(
       this->checker.not_run_requests(), this->checker.keys()));
-  LoadReport report = this->tally.Report();
+  LoadReport report = this->report_builder.Report();
   report.run = this->options.run;
-  report.targets =
-      SumTargets(this->controls.Counts(), this->tally.least_needed());
+  report.targets = SumTargets(this->controls.Counts(),
+                              this->report_builder.min_sub_requests());
   report.answers_checked = this->checker.checked();
   for (const auto& [kind, count] : this->checker.totals()) {
-    report.broken[std::string(ToString(kind))] = count;
+    report.violations[std::string(ToString(kind))] = count;
   }
   for (const BrokenPromise& broken : this->checker.broken()) {
-    report.first_broken.push_back(std::string(ToString(broken.kind)) + ": " +
-                                  broken.request_id + ": " + broken.detail);
+    report.first_violations.push_back(std::string(ToString(broken.kind)) +
+                                      ": " + broken.request_id + ": " +
+                                      broken.detail);
   }
   const std::chrono::duration<double, std::milli> lag = this->loop.worst_lag();
   report.generator = {.skipped = this->loop.skipped(),
@@ -132,15 +133,15 @@
 LoadRunner::~LoadRunner() = default;
 
 LoadReport LoadRunner::Run() {
-  State& own = *this->state;
-  own.controls.Discover();
-  own.timeline.Heal();
-  own.start = Runtime::Now();
-  own.timeline.Start(own.start);
-  own.SendAll();
-  own.WaitForTheRest();
-  LoadReport report = own.MakeReport();
-  own.timeline.Heal();
+  State& run_state = *this->state;
+  run_state.controls.Discover();
+  run_state.timeline.ResetDeployment();
+  run_state.start = Runtime::Now();
+  run_state.timeline.Start(run_state.start);
+  run_state.SendAll();
+  run_state.WaitForOutstandingCalls();
+  LoadReport report = run_state.MakeReport();
+  run_state.timeline.ResetDeployment();
   return report;
 }
 
--- a/knapweedroad/load/load_runner.h
+++ b/knapweedroad/load/load_runner.h
@@ -30,7 +30,7 @@
   // of the targets' side.
   std::vector<Endpoint> controls;
   // Ends the cold starts of all targets before the run.
-  bool warms_targets = false;
+  bool warm_up_targets = false;
 };
 
 class LoadRunner {
--- a/knapweedroad/load/load_runner_test.cc
+++ b/knapweedroad/load/load_runner_test.cc
@@ -79,7 +79,7 @@
   cr_assert_eq(report.total.answered, report.answers_checked);
   cr_assert_eq(report.targets.targets, 1);
   cr_assert(report.generator.timeline_failures.empty());
-  cr_assert(!report.HasBrokenPromise());
+  cr_assert(!report.HasViolation());
 }
 
 Test(LoadRunner, FindsAnswersThatAreAnotherQuerys) {
@@ -90,8 +90,8 @@
         other.body = R"({"query": "another"})";
         return TrueAnswer(other);
       });
-  cr_assert(report.HasBrokenPromise());
-  cr_assert_eq(report.broken.at("hits_not_of_the_snapshot"),
+  cr_assert(report.HasViolation());
+  cr_assert_eq(report.violations.at("hits_not_of_the_snapshot"),
                report.answers_checked);
 }
 
--- a/knapweedroad/load/open_loop.cc
+++ b/knapweedroad/load/open_loop.cc
@@ -15,16 +15,17 @@
 std::vector<PlannedCall> OpenLoop::Due(Duration elapsed) {
   std::vector<PlannedCall> due;
   while (this->next && this->next->at <= elapsed) {
-    this->lag = std::max(this->lag, elapsed - this->next->at);
-    if (this->running >= this->max_outstanding) {
-      ++this->left_out;
+    this->max_lag = std::max(this->max_lag, elapsed - this->next->at);
+    if (this->outstanding_calls >= this->max_outstanding) {
+      ++this->skipped_calls;
     } else {
-      ++this->running;
+      ++this->outstanding_calls;
       due.push_back(std::move(*this->next));
     }
     this->next = this->source.Next();
   }
-  this->peak = std::max(this->peak, this->running);
+  this->peak_outstanding_calls =
+      std::max(this->peak_outstanding_calls, this->outstanding_calls);
   return due;
 }
 
--- a/knapweedroad/load/open_loop.h
+++ b/knapweedroad/load/open_loop.h
@@ -33,23 +33,23 @@
   std::optional<Duration> next_at() const;
 
   // A call that Due() gave has ended.
-  void OnEnded() { --this->running; }
+  void OnEnded() { --this->outstanding_calls; }
 
-  uint32_t outstanding() const { return this->running; }
-  uint32_t peak_outstanding() const { return this->peak; }
+  uint32_t outstanding() const { return this->outstanding_calls; }
+  uint32_t peak_outstanding() const { return this->peak_outstanding_calls; }
   // Calls that were due while too many were unanswered, and not sent.
-  uint64_t skipped() const { return this->left_out; }
+  uint64_t skipped() const { return this->skipped_calls; }
   // How far the sends fell behind their planned times, at worst.
-  Duration worst_lag() const { return this->lag; }
+  Duration worst_lag() const { return this->max_lag; }
 
  private:
   CallSource source;
   std::optional<PlannedCall> next;
   uint32_t max_outstanding;
-  uint32_t running = 0;
-  uint32_t peak = 0;
-  uint64_t left_out = 0;
-  Duration lag{};
+  uint32_t outstanding_calls = 0;
+  uint32_t peak_outstanding_calls = 0;
+  uint64_t skipped_calls = 0;
+  Duration max_lag{};
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/load/plan_fields.cc
+++ b/knapweedroad/load/plan_fields.cc
@@ -12,15 +12,15 @@
 PlanFields::PlanFields(const json& object,
                        std::string path,
                        std::vector<std::string>& errors)
-    : object(&object), place(std::move(path)), found_errors(&errors) {
+    : object(&object), json_path(std::move(path)), found_errors(&errors) {
   if (!object.is_object()) {
-    errors.push_back((this->place.empty() ? "/" : this->place) +
+    errors.push_back((this->json_path.empty() ? "/" : this->json_path) +
                      ": expected an object");
   }
 }
 
 const json* PlanFields::Find(const char* name) {
-  this->known.insert(name);
+  this->read_fields.insert(name);
   return this->Has(name) ? &this->object->at(name) : nullptr;
 }
 
@@ -28,79 +28,79 @@
   return this->object->is_object() && this->object->contains(name);
 }
 
-void PlanFields::Fail(const char* name, const std::string& expected) {
-  this->found_errors->push_back(this->place + "/" + name + ": " + expected);
+void PlanFields::AddError(const char* name, const std::string& expected) {
+  this->found_errors->push_back(this->json_path + "/" + name + ": " + expected);
 }
 
-std::string PlanFields::Text(const char* name, const char* absent) {
+std::string PlanFields::Text(const char* name, const char* default_value) {
   const json* field = this->Find(name);
   if (field == nullptr) {
-    return absent;
+    return default_value;
   }
   if (!field->is_string()) {
-    this->Fail(name, "expected a text");
-    return absent;
+    this->AddError(name, "expected a text");
+    return default_value;
   }
   return field->get<std::string>();
 }
 
-double PlanFields::Number(const char* name, double absent) {
+double PlanFields::Number(const char* name, double default_value) {
   const json* field = this->Find(name);
   if (field == nullptr) {
-    return absent;
+    return default_value;
   }
   if (!field->is_number() || field->get<double>() < 0) {
-    this->Fail(name, "expected a number of zero or more");
-    return absent;
+    this->AddError(name, "expected a number of zero or more");
+    return default_value;
   }
   return field->get<double>();
 }
 
-double PlanFields::Share(const char* name, double absent) {
-  const double share = this->Number(name, absent);
+double PlanFields::Share(const char* name, double default_value) {
+  const double share = this->Number(name, default_value);
   if (share > 1.0) {
-    this->Fail(name, "expected a share from 0 to 1");
+    this->AddError(name, "expected a share from 0 to 1");
   }
   return share;
 }
 
-uint32_t PlanFields::Whole(const char* name, uint32_t absent) {
+uint32_t PlanFields::UnsignedInteger(const char* name, uint32_t default_value) {
   const json* field = this->Find(name);
   if (field == nullptr) {
-    return absent;
+    return default_value;
   }
   if (!field->is_number_unsigned() ||
       field->get<uint64_t>() > std::numeric_limits<uint32_t>::max()) {
-    this->Fail(name, "expected a whole number of zero or more");
-    return absent;
+    this->AddError(name, "expected a whole number of zero or more");
+    return default_value;
   }
   return field->get<uint32_t>();
 }
 
-bool PlanFields::Flag(const char* name, bool absent) {
+bool PlanFields::Flag(const char* name, bool default_value) {
   const json* field = this->Find(name);
   if (field == nullptr) {
-    return absent;
+    return default_value;
   }
   if (!field->is_boolean()) {
-    this->Fail(name, "expected true or false");
-    return absent;
+    this->AddError(name, "expected true or false");
+    return default_value;
   }
   return field->get<bool>();
 }
 
-Duration PlanFields::Milliseconds(const char* name, Duration absent) {
+Duration PlanFields::Milliseconds(const char* name, Duration default_value) {
   const json* field = this->Find(name);
   if (field == nullptr) {
-    return absent;
+    return default_value;
   }
-  return std::chrono::milliseconds(this->Whole(name, 0));
+  return std::chrono::milliseconds(this->UnsignedInteger(name, 0));
 }
 
 std::string PlanFields::RequiredText(const char* name) {
   std::string text = this->Text(name, "");
   if (text.empty()) {
-    this->Fail(name, "is needed");
+    this->AddError(name, "is needed");
   }
   return text;
 }
@@ -108,7 +108,7 @@
 double PlanFields::RequiredNumber(const char* name) {
   const double number = this->Number(name, 0.0);
   if (number == 0.0) {
-    this->Fail(name, "is needed, above zero");
+    this->AddError(name, "is needed, above zero");
   }
   return number;
 }
@@ -116,7 +116,7 @@
 Duration PlanFields::RequiredMilliseconds(const char* name) {
   const Duration time = this->Milliseconds(name, Duration::zero());
   if (time == Duration::zero()) {
-    this->Fail(name, "is needed, above zero");
+    this->AddError(name, "is needed, above zero");
   }
   return time;
 }
@@ -125,7 +125,7 @@
   const json* field = this->Find(name);
   std::vector<const json*> elements;
   if (field != nullptr && !field->is_array()) {
-    this->Fail(name, "expected a list");
+    this->AddError(name, "expected a list");
     return elements;
   }
   if (field != nullptr) {
@@ -134,18 +134,18 @@
     }
   }
   if (required && elements.empty()) {
-    this->Fail(name, "is needed, with at least one entry");
+    this->AddError(name, "is needed, with at least one entry");
   }
   return elements;
 }
 
-void PlanFields::Finish() {
+void PlanFields::ReportUnknownFields() {
   if (!this->object->is_object()) {
     return;
   }
   for (const auto& [name, value] : this->object->items()) {
-    if (!this->known.contains(name)) {
-      this->Fail(name.c_str(), "unknown field");
+    if (!this->read_fields.contains(name)) {
+      this->AddError(name.c_str(), "unknown field");
     }
   }
 }
--- a/knapweedroad/load/plan_fields.h
+++ b/knapweedroad/load/plan_fields.h
@@ -27,13 +27,13 @@
              std::vector<std::string>& errors);
 
   // Each reads a field, or gives the default where it is absent.
-  std::string Text(const char* name, const char* absent);
-  double Number(const char* name, double absent);
-  double Share(const char* name, double absent);
-  uint32_t Whole(const char* name, uint32_t absent);
-  bool Flag(const char* name, bool absent);
+  std::string Text(const char* name, const char* default_value);
+  double Number(const char* name, double default_value);
+  double Share(const char* name, double default_value);
+  uint32_t UnsignedInteger(const char* name, uint32_t default_value);
+  bool Flag(const char* name, bool default_value);
   // `name` ends in _ms.
-  Duration Milliseconds(const char* name, Duration absent);
+  Duration Milliseconds(const char* name, Duration default_value);
 
   // As above; an error where the field is absent.
   std::string RequiredText(const char* name);
@@ -46,18 +46,18 @@
   std::vector<const nlohmann::json*> Elements(const char* name, bool required);
 
   bool Has(const char* name) const;
-  void Fail(const char* name, const std::string& expected);
+  void AddError(const char* name, const std::string& expected);
   // Notes every field that nobody has read.
-  void Finish();
+  void ReportUnknownFields();
 
-  const std::string& path() const { return this->place; }
+  const std::string& path() const { return this->json_path; }
   std::vector<std::string>& errors() { return *this->found_errors; }
 
  private:
   const nlohmann::json* object;
-  std::string place;
+  std::string json_path;
   std::vector<std::string>* found_errors;
-  std::set<std::string> known;
+  std::set<std::string> read_fields;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/load/target_controls.cc
+++ b/knapweedroad/load/target_controls.cc
@@ -17,7 +17,7 @@
 
 constexpr Duration kTimeout = std::chrono::seconds(5);
 constexpr size_t kIdsInOneRequest = 5000;
-constexpr int kStatusDone = 200;
+constexpr int kStatusOk = 200;
 
 // The ids from `first` on, as many as go into one request.
 json Slice(const std::vector<std::string>& ids, size_t first) {
@@ -47,7 +47,8 @@
 
 void TargetControls::Discover() {
   for (Control& control : this->controls) {
-    const auto body = this->Ask(control, "GET", "/v1/stand-in/counts", "");
+    const auto body =
+        this->SendRequest(control, "GET", "/v1/stand-in/counts", "");
     if (!body) {
       continue;
     }
@@ -61,7 +62,7 @@
 size_t TargetControls::SendFault(const std::string& fault,
                                  const TargetSelection& selection) {
   size_t matching = 0;
-  size_t taken = 0;
+  size_t accepted_count = 0;
   for (Control& control : this->controls) {
     const bool matches =
         MatchesPatterns(selection.targets, control.target.str()) &&
@@ -69,26 +70,28 @@
     if (!matches || matching++ % selection.every != 0) {
       continue;
     }
-    taken += this->Ask(control, "POST", "/v1/stand-in/fault", fault) ? 1 : 0;
+    accepted_count +=
+        this->SendRequest(control, "POST", "/v1/stand-in/fault", fault) ? 1 : 0;
   }
-  if (taken == 0) {
-    this->failed.push_back("no target took " + fault + " (" +
-                           selection.targets + ")");
+  if (accepted_count == 0) {
+    this->failure_messages.push_back("no target took " + fault + " (" +
+                                     selection.targets + ")");
   }
-  return taken;
+  return accepted_count;
 }
 
 std::vector<TargetCounts> TargetControls::Counts() {
   std::vector<TargetCounts> all;
   for (Control& control : this->controls) {
-    const auto body = this->Ask(control, "GET", "/v1/stand-in/counts", "");
+    const auto body =
+        this->SendRequest(control, "GET", "/v1/stand-in/counts", "");
     if (!body) {
       continue;
     }
     if (auto counts = ReadCounts(*body)) {
       all.push_back(std::move(*counts));
     } else {
-      this->failed.push_back(control.address + ": " + counts.error());
+      this->failure_messages.push_back(control.address + ": " + counts.error());
     }
   }
   return all;
@@ -100,12 +103,12 @@
   ExecutionCounts counts;
   const size_t longest = std::max(requests.size(), keys.size());
   for (size_t first = 0; first < longest; first += kIdsInOneRequest) {
-    const json asked = {{"request_ids", Slice(requests, first)},
-                        {"keys", Slice(keys, first)}};
-    const std::string text = asked.dump();
+    const json request_body = {{"request_ids", Slice(requests, first)},
+                               {"keys", Slice(keys, first)}};
+    const std::string text = request_body.dump();
     for (Control& control : this->controls) {
       const auto body =
-          this->Ask(control, "POST", "/v1/stand-in/executed", text);
+          this->SendRequest(control, "POST", "/v1/stand-in/executed", text);
       if (body) {
         this->AddExecutions(*body, counts);
       }
@@ -118,7 +121,8 @@
                                    ExecutionCounts& counts) {
   const json found = json::parse(body, nullptr, false);
   if (!found.is_object()) {
-    this->failed.emplace_back("an answer about executions can't be read");
+    this->failure_messages.emplace_back(
+        "an answer about executions can't be read");
     return;
   }
   for (const auto& [id, count] : found.at("request_ids").items()) {
@@ -129,18 +133,19 @@
   }
 }
 
-std::optional<std::string> TargetControls::Ask(Control& control,
-                                               const char* method,
-                                               const char* path,
-                                               const std::string& body) {
+std::optional<std::string> TargetControls::SendRequest(
+    Control& control,
+    const char* method,
+    const char* path,
+    const std::string& body) {
   const auto answer =
       control.client->Send({.method = method, .path = path, .body = body},
                            Runtime::Now() + kTimeout);
-  if (answer && answer->status == kStatusDone) {
+  if (answer && answer->status == kStatusOk) {
     return answer->body;
   }
   const std::string reason = answer ? answer->body : answer.error().detail;
-  this->failed.push_back(control.address + path + ": " + reason);
+  this->failure_messages.push_back(control.address + path + ": " + reason);
   return std::nullopt;
 }
 
--- a/knapweedroad/load/target_controls.h
+++ b/knapweedroad/load/target_controls.h
@@ -51,7 +51,9 @@
   ExecutionCounts Executions(const std::vector<std::string>& requests,
                              const std::vector<std::string>& keys);
 
-  const std::vector<std::string>& failures() const { return this->failed; }
+  const std::vector<std::string>& failures() const {
+    return this->failure_messages;
+  }
 
  private:
   struct Control {
@@ -62,15 +64,15 @@
   };
 
   // The body of a 200 answer.
-  std::optional<std::string> Ask(Control& control,
-                                 const char* method,
-                                 const char* path,
-                                 const std::string& body);
+  std::optional<std::string> SendRequest(Control& control,
+                                         const char* method,
+                                         const char* path,
+                                         const std::string& body);
   void AddExecutions(const std::string& body, ExecutionCounts& counts);
 
   Runtime* runtime;
   std::vector<Control> controls;
-  std::vector<std::string> failed;
+  std::vector<std::string> failure_messages;
 };
 
 }  // namespace knapweedroad
--- a/knapweedroad/load/timeline_runner.cc
+++ b/knapweedroad/load/timeline_runner.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kChangeTimeout = std::chrono::seconds(5);
 constexpr int kStatusAccepted = 200;
-constexpr int kTries = 3;
+constexpr int kMaxAttempts = 3;
 
 }  // namespace
 
@@ -29,8 +29,8 @@
 
 TimelineRunner::~TimelineRunner() = default;
 
-void TimelineRunner::Heal() {
-  for (const ZoneId& zone : std::exchange(this->zones_out, {})) {
+void TimelineRunner::ResetDeployment() {
+  for (const ZoneId& zone : std::exchange(this->zones_out_of_service, {})) {
     this->ChangeZone(zone, false);
   }
   if (this->options->controls.empty()) {
@@ -38,40 +38,40 @@
   }
   this->controls->SendFault(R"({"fault": "misbehave"})", {});
   this->controls->SendFault(R"({"fault": "mark_zone_in"})", {});
-  if (this->options->warms_targets) {
+  if (this->options->warm_up_targets) {
     this->controls->SendFault(R"({"fault": "warm_up"})", {});
   }
   this->controls->SendFault(R"({"fault": "reset_counts"})", {});
 }
 
 void TimelineRunner::Start(TimePoint run_start) {
-  this->pending = this->options->plan.timeline.size();
+  this->pending_events = this->options->plan.timeline.size();
   for (const TimelineEvent& event : this->options->plan.timeline) {
     this->runtime->Spawn([this, &event, run_start] {
       Runtime::SleepUntil(run_start + event.at);
-      this->Do(event);
-      --this->pending;
+      this->ApplyEvent(event);
+      --this->pending_events;
     });
   }
 }
 
-void TimelineRunner::Do(const TimelineEvent& event) {
+void TimelineRunner::ApplyEvent(const TimelineEvent& event) {
   if (!event.zone) {
     this->controls->SendFault(event.fault, {.targets = event.targets,
                                             .zone = event.target_zone,
                                             .every = event.every});
     return;
   }
-  if (!this->ChangeZone(*event.zone, event.zone_out)) {
-    this->failed.push_back("zone " + event.zone->str() +
-                           " could not be taken " +
-                           (event.zone_out ? "out" : "in"));
+  if (!this->ChangeZone(*event.zone, event.take_zone_out)) {
+    this->failure_messages.push_back("zone " + event.zone->str() +
+                                     " could not be taken " +
+                                     (event.take_zone_out ? "out" : "in"));
     return;
   }
-  if (event.zone_out) {
-    this->zones_out.insert(*event.zone);
+  if (event.take_zone_out) {
+    this->zones_out_of_service.insert(*event.zone);
   } else {
-    this->zones_out.erase(*event.zone);
+    this->zones_out_of_service.erase(*event.zone);
   }
 }
 
@@ -85,8 +85,8 @@
   request.path = "/v1/zones/" + zone.str() + (out ? "/out" : "/in");
   request.headers["Knapweed-Operator"] = "load";
   request.headers["Knapweed-Request-Id"] =
-      this->options->run + "-zone-" + std::to_string(++this->changes);
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+      this->options->run + "-zone-" + std::to_string(++this->zone_change_count);
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     for (const auto& host : this->operators) {
       const auto answer = host->Send(request, Runtime::Now() + kChangeTimeout);
       if (!answer || answer->status != kStatusAccepted) {
--- a/knapweedroad/load/timeline_runner.h
+++ b/knapweedroad/load/timeline_runner.h
@@ -30,26 +30,28 @@
 
   // Ends all lasting faults, takes in the zones that Start() took out, and
   // resets the targets' counts. Blocks the calling fiber.
-  void Heal();
+  void ResetDeployment();
 
   // Does each event in a fiber of its own; they use this object until done().
   void Start(TimePoint run_start);
-  bool done() const { return this->pending == 0; }
+  bool done() const { return this->pending_events == 0; }
 
-  const std::vector<std::string>& failures() const { return this->failed; }
+  const std::vector<std::string>& failures() const {
+    return this->failure_messages;
+  }
 
  private:
-  void Do(const TimelineEvent& event);
+  void ApplyEvent(const TimelineEvent& event);
   bool ChangeZone(const ZoneId& zone, bool out);
 
   Runtime* runtime;
   const LoadRunOptions* options;
   TargetControls* controls;
   std::vector<std::unique_ptr<HttpClient>> operators;
-  std::set<ZoneId> zones_out;
-  size_t pending = 0;
-  uint64_t changes = 0;
-  std::vector<std::string> failed;
+  std::set<ZoneId> zones_out_of_service;
+  size_t pending_events = 0;
+  uint64_t zone_change_count = 0;
+  std::vector<std::string> failure_messages;
 };
 
 }  // namespace knapweedroad
