--- a/knapweedroad/load/address_list.h
+++ b/knapweedroad/load/address_list.h
@@ -1,4 +1,4 @@
-// Lists of addresses as written on a command line.
+// Parses address lists from command-line flags.
 //
 //   auto list = ParseAddressList("127.0.0.1:7001,127.0.0.1:9100-9129");
 
@@ -15,8 +15,9 @@
 
 namespace knapweedroad {
 
-// IP:PORT or IP:FIRST-LAST, separated by commas; an empty text is an empty
-// list. The error names the entry that is wrong.
+// Parses a comma-separated list of IP:PORT or IP:FIRST-LAST entries. Returns an
+// empty list for an empty text, and an error that names the first invalid entry
+// otherwise.
 tl::expected<std::vector<Endpoint>, std::string> ParseAddressList(
     std::string_view text);
 
--- a/knapweedroad/load/call_source.h
+++ b/knapweedroad/load/call_source.h
@@ -1,10 +1,11 @@
-// The calls of a plan in the order of their planned times, from its seed.
+// Generates the calls of a plan in the order of their planned times. The same
+// plan and seed give the same calls.
 //
 //   CallSource source(plan, "run-7");
 //   while (auto call = source.Next()) Send(*call);
 //
-// Arrivals of each stream are a Poisson process. The planned times depend on
-// the plan alone, never on answers: an open loop.
+// Arrivals of each stream are a Poisson process. The planned times depend only
+// on the plan, not on answers (open-loop load).
 
 #ifndef KNAPWEEDROAD_LOAD_CALL_SOURCE_H_
 #define KNAPWEEDROAD_LOAD_CALL_SOURCE_H_
@@ -24,20 +25,21 @@
 struct LoadPlan;
 
 struct PlannedCall {
-  // Since the run's start.
+  // Planned send time, since the start of the run.
   Duration at{};
-  // Without an answer yet.
+  // The request; its answer fields are empty until the call is sent.
   CallRecord call;
-  // The caller leaves this long after the send.
+  // If set, the client cancels the call this long after it was sent.
   std::optional<Duration> cancel_after;
 };
 
 class CallSource {
  public:
-  // The plan outlives this. `run` makes the request ids unique among runs.
+  // `plan` must outlive this object. `run` is a part of every request id and
+  // makes the ids unique among runs.
   CallSource(const LoadPlan& plan, std::string run);
 
-  // The next call; nothing at the end of the plan.
+  // Returns the next call, or nullopt after the last call of the plan.
   std::optional<PlannedCall> Next();
 
  private:
--- a/knapweedroad/load/caller.cc
+++ b/knapweedroad/load/caller.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr size_t kMaxConnectionsPerHost = 2000;
-// How long after its deadline a late answer is still waited for.
+// Time after the deadline during which a late answer is still accepted.
 constexpr Duration kLateAnswerWait = std::chrono::seconds(1);
 
 HttpRequest MakeRequest(const CallRecord& call) {
--- a/knapweedroad/load/caller.h
+++ b/knapweedroad/load/caller.h
@@ -1,4 +1,4 @@
-// Sends calls to the hosts' caller addresses, each to the next host.
+// Sends calls to the hosts' caller addresses in round-robin order.
 //
 //   Caller caller(runtime, hosts);
 //   caller.Send(call, due_at, cancel_after);
@@ -24,8 +24,9 @@
   Caller(Runtime& runtime, const std::vector<Endpoint>& hosts);
   ~Caller();
 
-  // Blocks the calling fiber; fills the call's answer, and its latency since
-  // `due_at`. The caller leaves `cancel_after` the send, where given.
+  // Sends `call` and blocks the calling fiber until it ends. Stores the answer
+  // in `call`, or status 0 and a failure name if there is none, and the latency
+  // since `due_at`. Cancels the call `cancel_after` after the send, if set.
   void Send(CallRecord& call,
             TimePoint due_at,
             std::optional<Duration> cancel_after);
--- a/knapweedroad/load/latency_histogram.h
+++ b/knapweedroad/load/latency_histogram.h
@@ -1,4 +1,4 @@
-// Latencies in bins of equal ratio, for quantiles far out in the tail.
+// Counts latencies in logarithmic bins and estimates high quantiles from them.
 //
 //   histogram.Add(latency);
 //   double p99 = histogram.QuantileMs(0.99);
@@ -25,9 +25,9 @@
   uint64_t count() const { return this->total; }
   double max_ms() const { return this->largest_ms; }
 
-  // The upper edge of the bin that holds the quantile (0 to 1), and never more
-  // than the maximum; at most 1.2% above the true value between 0.01 ms and
-  // 100 s. 0 where nothing was added.
+  // Returns the upper edge of the bin that holds the quantile (0 to 1), but at
+  // most the maximum. The result is at most 1.2% above the true value between
+  // 0.01 ms and 100 s. Returns 0 if the histogram is empty.
   double QuantileMs(double quantile) const;
 
  private:
--- a/knapweedroad/load/load_command.cc
+++ b/knapweedroad/load/load_command.cc
@@ -17,7 +17,7 @@
 std::optional<std::string> ReadFile(const std::string& file) {
   std::ifstream in(file);
   if (!in) {
-    std::cerr << file << ": can't be read\n";
+    std::cerr << file << ": cannot read file\n";
     return std::nullopt;
   }
   std::ostringstream text;
@@ -30,7 +30,7 @@
   out << text;
   out.flush();
   if (!out) {
-    std::cerr << file << ": can't be written\n";
+    std::cerr << file << ": cannot write file\n";
     return false;
   }
   return true;
@@ -88,7 +88,7 @@
     return std::nullopt;
   }
   if (run.callers.empty()) {
-    std::cerr << "--callers: at least one address is needed\n";
+    std::cerr << "--callers: at least one address is required\n";
     return std::nullopt;
   }
   return run;
--- a/knapweedroad/load/load_command.h
+++ b/knapweedroad/load/load_command.h
@@ -1,4 +1,4 @@
-// The `load` subcommand: runs a scenario, or compares or draws reports.
+// The `load` subcommand: runs a scenario, compares two reports or plots one.
 
 #ifndef KNAPWEEDROAD_LOAD_LOAD_COMMAND_H_
 #define KNAPWEEDROAD_LOAD_LOAD_COMMAND_H_
@@ -11,20 +11,22 @@
 
 struct LoadCommandOptions {
   std::string scenario_file;
-  // Address lists, see ParseAddressList().
+  // Address lists in the format of ParseAddressList().
   std::string callers;
   std::string operators;
   std::string controls;
-  // Names the run in its request ids; made from the time where empty.
+  // The run's name, a part of every request id. If empty, a name is derived
+  // from the current time.
   std::string run;
-  // Instead of the scenario's own.
+  // Overrides the seed of the scenario.
   std::optional<uint64_t> seed;
   // Multiplies every rate of the scenario.
   double rate_scale = 1.0;
-  // Ends all cold starts first: for hosts that can't.
+  // Ends the cold starts of all targets before the run, for hosts that can't
+  // warm up their targets.
   bool warm_up_targets = false;
-  // Files to write, where given: the report, and a gnuplot script that draws
-  // it into `plot_image`.
+  // Output files, not written if empty: the JSON report, and a gnuplot script
+  // that plots it to `plot_image`.
   std::string json_file;
   std::string plot_file;
   std::string plot_image = "load.png";
@@ -34,12 +36,12 @@
 inline constexpr int kLoadExitViolation = 1;
 inline constexpr int kLoadExitUsage = 2;
 
-// Runs the scenario and prints the report. The exit code: kLoadExitViolation
-// where the run saw a promise broken, kLoadExitUsage where a file or address is
-// wrong.
+// Runs the scenario and prints the report. Returns kLoadExitViolation if the
+// run detected a violated guarantee, kLoadExitUsage if a file or an address is
+// invalid, and kLoadExitOk otherwise.
 int RunLoadCommand(const LoadCommandOptions& options);
 
-// `load compare A.json B.json`: prints both side by side.
+// `load compare A.json B.json`: prints both reports side by side.
 int RunLoadCompareCommand(const std::string& first_file,
                           const std::string& second_file);
 
--- a/knapweedroad/load/load_plan.h
+++ b/knapweedroad/load/load_plan.h
@@ -1,10 +1,11 @@
-// A scenario of the load command: what callers send, and what goes wrong when.
+// A scenario of the load command: the calls that clients send, and the faults
+// and zone changes injected during the run.
 //
 //   auto plan = ReadLoadPlan(text);
 //   if (!plan) for (const std::string& error : plan.error()) ...
 //
-// Addresses aren't part of it, so that one scenario fits every deployment that
-// has its fronts.
+// A scenario contains no addresses, so that it can run against any deployment
+// that has its fronts.
 
 #ifndef KNAPWEEDROAD_LOAD_LOAD_PLAN_H_
 #define KNAPWEEDROAD_LOAD_LOAD_PLAN_H_
@@ -23,44 +24,49 @@
 
 namespace knapweedroad {
 
-// A share of a stream's calls that one tenant sends in one class.
+// The share of a stream's calls that one tenant sends in one request class.
 struct CallerMix {
   TenantId tenant;
   std::string request_class;
-  // Relative to the stream's others.
+  // Weight relative to the other entries of the stream.
   double share = 1.0;
 };
 
-// Calls of one kind of callers to one front.
+// A stream of calls to one front at a constant mean rate.
 struct CallStream {
   FrontId front;
   bool is_search = true;
   double rate_per_second = 0.0;
-  // Within the run; `until` is the run's end where the file names none.
+  // Active period since the start of the run. `until` defaults to the end of
+  // the run.
   Duration from{};
   Duration until{};
   Duration deadline{};
   std::vector<CallerMix> callers;
-  // Of searches: the most hits asked for.
+  // Maximum number of hits requested by a search.
   uint32_t limit = 100;
-  // Different queries or records that are asked for.
+  // Number of distinct queries or records that calls choose from.
   uint32_t distinct_subjects = 1000;
-  // Of record fronts: the share of keyed lookups.
+  // For record fronts: the share of calls that are lookups with an idempotency
+  // key.
   double lookup_share = 0.0;
-  // The share of callers that leave before their answer comes.
+  // The share of calls that the client cancels at a random time before the
+  // deadline.
   double cancel_share = 0.0;
 };
 
-// Something done to the deployment during a run.
+// A fault or zone change that is applied to the deployment during a run.
 struct TimelineEvent {
   Duration at{};
-  // A fault sent to the targets that match: names (see MatchesPatterns()),
-  // zone (all where absent), and of these each `every`th.
+  // A fault that is sent to the selected targets: those whose name matches
+  // `targets` (see MatchesPatterns()) in `target_zone` (all zones if absent),
+  // and of these every `every`-th.
   std::string fault;
   std::string targets = "*";
   std::optional<ZoneId> target_zone;
   uint32_t every = 1;
-  // Or a zone that operators take out or in.
+  // If set, the event is no fault: it takes this zone out of service, or back
+  // into service if `take_zone_out` is false.
   std::optional<ZoneId> zone;
   bool take_zone_out = false;
 };
@@ -69,21 +75,22 @@
   std::string name;
   uint64_t seed = 1;
   Duration duration{};
-  // Calls planned before this are checked, but not measured.
+  // Calls planned before this time are checked for violations but left out of
+  // the totals.
   Duration warm_up{};
-  // More calls than this at once are not sent, and reported as a fault of the
-  // generator.
+  // Maximum number of unanswered calls. Calls that are due above it are not
+  // sent, and are reported as skipped by the generator.
   uint32_t max_outstanding = 5000;
-  // How often a lookup without a certain outcome is sent again, through
-  // another host under the same key.
+  // Maximum number of times that a lookup with an unknown outcome is resent,
+  // through the next host with the same idempotency key.
   uint32_t resends = 2;
   std::vector<FrontTruth> fronts;
   std::vector<CallStream> streams;
   std::vector<TimelineEvent> timeline;
 };
 
-// Reads JSON with comments; the error lists all that is wrong, each with its
-// place in the file.
+// Parses JSON with comments. On failure, returns all errors, each with the JSON
+// path of the invalid field.
 tl::expected<LoadPlan, std::vector<std::string>> ReadLoadPlan(
     std::string_view text);
 
--- a/knapweedroad/load/load_plan_test.cc
+++ b/knapweedroad/load/load_plan_test.cc
@@ -31,7 +31,7 @@
   return text;
 }
 
-// Whether some error of the plan names this place.
+// Returns whether an error of the plan contains this JSON path.
 bool FailsAt(const std::string& text, const std::string& place) {
   const auto plan = ReadLoadPlan(text);
   return !plan && std::any_of(plan.error().begin(), plan.error().end(),
@@ -49,7 +49,7 @@
   cr_assert(plan->timeline[1].zone == ZoneId("leuven"));
 }
 
-Test(LoadPlan, NamesThePlaceOfEachError) {
+Test(LoadPlan, ReportsThePathOfEachError) {
   cr_expect(FailsAt(Replaced("\"seed\"", "\"sead\""), "/sead"));
   cr_expect(FailsAt(Replaced("\"rate_per_s\": 100", "\"rate_per_s\": -1"),
                     "/streams/0/rate_per_s"));
@@ -62,7 +62,7 @@
                     "/streams/0/callers/1/tenant"));
 }
 
-Test(LoadPlan, GivesAllErrorsAtOnce) {
+Test(LoadPlan, ReportsAllErrorsTogether) {
   std::string text = Replaced("\"rate_per_s\": 100", "\"rate_per_s\": -1");
   text.replace(text.find("\"out\""), 5, "\"off\"");
   const auto plan = ReadLoadPlan(text);
@@ -70,7 +70,7 @@
   cr_assert_geq(plan.error().size(), 2);
 }
 
-Test(LoadPlan, RefusesWhatIsNoJson) {
+Test(LoadPlan, RejectsInvalidJson) {
   cr_assert(!ReadLoadPlan("{\"name\": ").has_value());
   cr_assert(!ReadLoadPlan("[]").has_value());
 }
@@ -84,7 +84,7 @@
   cr_assert(!ParseAddressList("127.0.0.1:9102-9100").has_value());
 }
 
-Test(CallSource, TheSameSeedGivesTheSameCalls) {
+Test(CallSource, SameSeedGivesSameCalls) {
   const auto plan = ReadLoadPlan(kPlan);
   CallSource first(*plan, "a");
   CallSource second(*plan, "a");
@@ -101,10 +101,10 @@
   cr_assert(calls > 800 && calls < 1200);
 }
 
-// The run's latencies look fine although the system stalls: a generator that
-// waits for answers sends less while they are late, so the stall touches few
-// calls. Here no answer ever comes, and every call must be sent on time.
-Test(OpenLoop, ALateAnswerDelaysNoSend) {
+// Guards against a generator that waits for answers: it sends fewer calls
+// during a stall and so hides it in the latencies. No call is answered here,
+// and every call must still be due on time.
+Test(OpenLoop, UnansweredCallsDoNotDelaySends) {
   auto plan = ReadLoadPlan(kPlan);
   plan->max_outstanding = 10000;
   OpenLoop answered(*plan, "a");
@@ -122,7 +122,7 @@
   cr_assert_eq(answered.outstanding(), 0);
 }
 
-Test(OpenLoop, SaysSoWhenItFallsBehind) {
+Test(OpenLoop, ReportsLagAndSkippedCalls) {
   const auto plan = ReadLoadPlan(kPlan);
   OpenLoop loop(*plan, "a");
   const auto due = loop.Due(seconds(5));
--- a/knapweedroad/load/load_report.h
+++ b/knapweedroad/load/load_report.h
@@ -1,4 +1,4 @@
-// What a run of the load command measured.
+// The results of a run of the load command.
 
 #ifndef KNAPWEEDROAD_LOAD_LOAD_REPORT_H_
 #define KNAPWEEDROAD_LOAD_LOAD_REPORT_H_
@@ -22,16 +22,18 @@
   double max_ms = 0.0;
 };
 
-// Calls with something in common: a front, tenant or class.
+// Results of the calls that share a front, a tenant or a request class.
 struct GroupReport {
   uint64_t calls = 0;
-  // 200, and 404 of a record that isn't there.
+  // Calls with status 200, and record calls with status 404 for a record that
+  // does not exist.
   uint64_t answered = 0;
-  // Answered with the whole index, by the deadline.
+  // Answers with full coverage within the deadline.
   uint64_t complete_in_time = 0;
   uint64_t in_time = 0;
   uint64_t refused = 0;
-  // No answer at all: cut off, or given up by the generator.
+  // Calls without an answer: connection failure, timeout or cancelled by the
+  // client.
   uint64_t failed = 0;
   LatencySummary answers;
   LatencySummary refusals;
@@ -49,14 +51,14 @@
 };
 
 struct CoverageReport {
-  // Answers by the coverage they said: "1.0", "0.9-1.0", ...
+  // Number of answers by reported coverage: "1.0", "0.99-1.0", ...
   std::map<std::string, uint64_t> answers;
   double lowest = 0.0;
   double mean = 0.0;
   double complete_share = 0.0;
 };
 
-// One target, as it counted for itself.
+// Counts reported by one target.
 struct TargetRow {
   std::string zone;
   uint64_t received = 0;
@@ -66,7 +68,7 @@
   uint64_t connections_opened = 0;
 };
 
-// All targets together, as each counted for itself.
+// Sums and maxima of the counts that the targets reported.
 struct TargetsReport {
   uint64_t targets = 0;
   uint64_t received = 0;
@@ -76,11 +78,12 @@
   uint64_t expired = 0;
   uint64_t falls_cold = 0;
   uint64_t falls_over = 0;
-  // Sub-requests that the answers needed at least; those received above it as
-  // a share of it.
+  // Minimum number of sub-requests that the answers required, and the excess of
+  // received sub-requests as a fraction of that minimum.
   uint64_t min_sub_requests = 0;
   double extra_load = 0.0;
-  // The worst of all targets, and how many passed what they bear.
+  // Peaks are maxima over all targets; `over_*` are the numbers of targets that
+  // exceeded the limit.
   uint32_t peak_in_flight = 0;
   uint32_t peak_in_flight_cold = 0;
   uint32_t peak_connections = 0;
@@ -89,7 +92,7 @@
   uint32_t over_connections = 0;
   std::map<std::string, uint64_t> violations;
   std::map<std::string, TargetRow> by_target;
-  // The first ones: "TARGET at 1234 ms: kind: detail".
+  // The first violations, as "TARGET at 1234 ms: kind: detail".
   std::vector<std::string> first_violations;
 };
 
@@ -97,7 +100,8 @@
   uint64_t skipped = 0;
   double worst_lag_ms = 0.0;
   uint32_t peak_outstanding = 0;
-  // Faults and zone changes of the timeline that could not be done.
+  // Failed faults and zone changes of the timeline, and failed requests to
+  // control addresses.
   std::vector<std::string> timeline_failures;
 };
 
@@ -113,9 +117,9 @@
   CoverageReport coverage;
   // "200", "503 not_run", "none timeout", ...
   std::map<std::string, uint64_t> statuses;
-  // Answers by the snapshot they were of, "FRONT SNAPSHOT".
+  // Number of answers by front and snapshot, "FRONT SNAPSHOT".
   std::map<std::string, uint64_t> snapshots;
-  // Refusals by the problem's title and whether they said when to come back.
+  // Refusals by status and problem title, then by presence of Retry-After.
   std::map<std::string, uint64_t> refusals;
   uint64_t retry_after_present = 0;
   uint64_t retry_after_absent = 0;
@@ -126,11 +130,12 @@
   GeneratorReport generator;
   std::vector<SecondReport> seconds;
 
-  // Whether the run saw a promise broken, to callers or to targets.
+  // Returns whether the run detected a violated guarantee to callers or
+  // targets.
   bool HasViolation() const;
 };
 
-// Adds up what each target counted; `min_sub_requests` as in TargetsReport.
+// Aggregates the targets' counts; `min_sub_requests` is as in TargetsReport.
 TargetsReport SumTargets(const std::vector<TargetCounts>& counts,
                          uint64_t min_sub_requests);
 
--- a/knapweedroad/load/load_report_builder.cc
+++ b/knapweedroad/load/load_report_builder.cc
@@ -35,7 +35,7 @@
   return call.status == kStatusAnswered || is_missing_record;
 }
 
-// Records are whole by themselves.
+// Record calls always have full coverage.
 double CoverageOf(const CallRecord& call) {
   if (call.kind != CallKind::kQuery) {
     return 1.0;
--- a/knapweedroad/load/load_report_builder.h
+++ b/knapweedroad/load/load_report_builder.h
@@ -1,8 +1,8 @@
-// Collects the ended calls of a run into a report.
+// Builds a report from the completed calls of a run.
 //
-//   LoadReportBuilder tally(plan);
-//   tally.Add(call, planned_at);
-//   LoadReport report = tally.Report();
+//   LoadReportBuilder report_builder(plan);
+//   report_builder.Add(call, planned_at);
+//   LoadReport report = report_builder.Report();
 
 #ifndef KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
 #define KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
@@ -22,17 +22,18 @@
 
 class LoadReportBuilder {
  public:
-  // The plan outlives this.
+  // `plan` must outlive this object.
   explicit LoadReportBuilder(const LoadPlan& plan);
 
-  // A call has ended that was planned at `at` since the run's start.
+  // Records a completed call; `at` is its planned time since the start of the
+  // run.
   void Add(const CallRecord& call, Duration at);
 
-  // The callers' side of the report; targets, broken promises and the
-  // generator's part are for others to fill in.
+  // Returns the results of the calls. The caller fills in the results of
+  // targets, the violations and the generator's figures.
   LoadReport Report() const;
 
-  // Sub-requests that all answers so far needed at least.
+  // Minimum number of sub-requests that the answers recorded so far required.
   uint64_t min_sub_requests() const { return this->required_sub_requests; }
 
  private:
--- a/knapweedroad/load/load_report_builder_test.cc
+++ b/knapweedroad/load/load_report_builder_test.cc
@@ -47,7 +47,7 @@
   cr_assert_eq(histogram.max_ms(), 10000);
 }
 
-Test(LoadReportBuilder, TellsLateAndPartialAnswersFromGoodOnes) {
+Test(LoadReportBuilder, CountsLateAndPartialAnswersSeparately) {
   const LoadPlan plan = Plan();
   LoadReportBuilder report_builder(plan);
   report_builder.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
@@ -64,7 +64,7 @@
   cr_assert_eq(report.seconds.size(), 2);
 }
 
-Test(LoadReportBuilder, LeavesTheWarmUpOutOfTheFigures) {
+Test(LoadReportBuilder, ExcludesWarmUpFromTotals) {
   const LoadPlan plan = Plan();
   LoadReportBuilder report_builder(plan);
   report_builder.Add(Answer(milliseconds(100), "1.0000"), milliseconds(999));
@@ -82,7 +82,7 @@
   cr_assert_eq(report.statuses.at("none closed"), 1);
 }
 
-Test(LoadReport, ExtraLoadIsWhatTargetsReceivedAboveTheLeast) {
+Test(LoadReport, ExtraLoadIsTheExcessOverRequiredSubRequests) {
   TargetCounts target{.slots = 2, .cold_slots = 1, .connections = 25};
   target.counts.received = 105;
   target.counts.peak_in_flight = 3;
@@ -94,7 +94,7 @@
   cr_assert(report.HasViolation());
 }
 
-Test(LoadReport, OverloadBeforeAnyEvidenceIsNoBrokenPromise) {
+Test(LoadReport, OverloadWithoutPriorEvidenceIsNoViolation) {
   TargetCounts target;
   target.counts.violations[ViolationKind::kOverColdLimitUnknown] = 1;
   LoadReport report;
@@ -102,7 +102,7 @@
   cr_assert(!report.HasViolation());
 }
 
-Test(ReportCompare, PutsTwoReportsSideBySide) {
+Test(ReportCompare, PrintsTwoReportsSideBySide) {
   const LoadPlan plan = Plan();
   LoadReportBuilder report_builder(plan);
   report_builder.Add(Answer(milliseconds(100), "1.0000"), seconds(2));
--- a/knapweedroad/load/load_report_text.cc
+++ b/knapweedroad/load/load_report_text.cc
@@ -1,4 +1,4 @@
-// LoadReport as text for people.
+// Formats a LoadReport as human-readable text.
 
 #include <iomanip>
 #include <ostream>
--- a/knapweedroad/load/load_runner.cc
+++ b/knapweedroad/load/load_runner.cc
@@ -13,12 +13,11 @@
 namespace knapweedroad {
 namespace {
 
-// For calls that are still unanswered, or events still under way, after the
-// last send.
+// Maximum wait after the last send for unanswered calls and unfinished events.
 constexpr Duration kMaxWaitAfterLastSend = std::chrono::seconds(30);
 constexpr Duration kPollInterval = std::chrono::milliseconds(10);
-// Between the last answer and the counts: work that nobody waits for any more
-// may still run on the targets.
+// Wait between the last answer and reading the counts, because targets may
+// still execute work of ended calls.
 constexpr Duration kTargetDrainTime = std::chrono::milliseconds(500);
 
 bool IsOutcomeUnknown(const CallRecord& call) {
--- a/knapweedroad/load/load_runner.h
+++ b/knapweedroad/load/load_runner.h
@@ -20,14 +20,15 @@
 
 struct LoadRunOptions {
   LoadPlan plan;
-  // Makes request ids and keys unique among runs.
+  // A part of all request ids and idempotency keys; makes them unique among
+  // runs.
   std::string run;
-  // The hosts' caller addresses, used in turn; at least one.
+  // The hosts' caller addresses, used in round-robin order. Must not be empty.
   std::vector<Endpoint> callers;
-  // The hosts' operator addresses; needed for zone changes.
+  // The hosts' operator addresses; required for zone changes.
   std::vector<Endpoint> operators;
-  // The stand-in searchers' control addresses; without them nothing is known
-  // of the targets' side.
+  // The stand-in searchers' control addresses. If empty, the report has no
+  // counts from targets.
   std::vector<Endpoint> controls;
   // Ends the cold starts of all targets before the run.
   bool warm_up_targets = false;
@@ -38,8 +39,9 @@
   LoadRunner(Runtime& runtime, LoadRunOptions options);
   ~LoadRunner();
 
-  // Blocks the calling fiber for the plan's duration and until every call has
-  // ended. Heals all targets and resets their counts before it starts.
+  // Runs the plan and blocks the calling fiber until every call has ended, or
+  // for at most 30 s after the last send. Clears all faults and the targets'
+  // counts before the run.
   LoadReport Run();
 
  private:
--- a/knapweedroad/load/load_runner_test.cc
+++ b/knapweedroad/load/load_runner_test.cc
@@ -27,7 +27,7 @@
   return plan;
 }
 
-// What a host would answer that covers the only service.
+// Returns a host's answer with full coverage of the only service.
 HttpResponse TrueAnswer(const HttpRequest& request) {
   const std::string query = json::parse(request.body).at("query");
   json hits = json::array();
@@ -69,7 +69,7 @@
   return runner.Run();
 }
 
-Test(LoadRunner, FindsNothingWrongWithTrueAnswers) {
+Test(LoadRunner, AcceptsCorrectAnswers) {
   Runtime runtime;
   const LoadReport report =
       RunAgainst(runtime, [](const HttpRequest& request, HttpExchange&) {
@@ -82,7 +82,7 @@
   cr_assert(!report.HasViolation());
 }
 
-Test(LoadRunner, FindsAnswersThatAreAnotherQuerys) {
+Test(LoadRunner, DetectsAnswersOfAnotherQuery) {
   Runtime runtime;
   const LoadReport report =
       RunAgainst(runtime, [](const HttpRequest& request, HttpExchange&) {
--- a/knapweedroad/load/open_loop.h
+++ b/knapweedroad/load/open_loop.h
@@ -1,13 +1,14 @@
-// When the generator sends: each call at its planned time, however many are
-// still unanswered.
+// Schedules calls in an open loop: each call is due at its planned time,
+// regardless of unanswered calls, up to the plan's `max_outstanding`.
 //
 //   OpenLoop loop(plan, run);
 //   for (PlannedCall& call : loop.Due(elapsed)) Send(call);
 //   SleepUntil(start + *loop.next_at());
 //   ... loop.OnEnded() as each call ends
 //
-// If the process itself can't keep up, that is measured and never hidden in
-// the latencies: those count from the planned time.
+// Latencies count from the planned time, and worst_lag() reports the
+// generator's own delay, so that a generator that falls behind does not hide
+// latency.
 
 #ifndef KNAPWEEDROAD_LOAD_OPEN_LOOP_H_
 #define KNAPWEEDROAD_LOAD_OPEN_LOOP_H_
@@ -26,20 +27,21 @@
  public:
   OpenLoop(const LoadPlan& plan, std::string run);
 
-  // Every call that is due at `elapsed` since the run's start.
+  // Returns the calls that became due by `elapsed` since the start of the run,
+  // except those over `max_outstanding`.
   std::vector<PlannedCall> Due(Duration elapsed);
 
-  // When the next one is due; nothing after the last.
+  // Returns when the next call is due, or nullopt after the last one.
   std::optional<Duration> next_at() const;
 
-  // A call that Due() gave has ended.
+  // Records that a call returned by Due() has ended.
   void OnEnded() { --this->outstanding_calls; }
 
   uint32_t outstanding() const { return this->outstanding_calls; }
   uint32_t peak_outstanding() const { return this->peak_outstanding_calls; }
-  // Calls that were due while too many were unanswered, and not sent.
+  // Number of calls not sent because `max_outstanding` calls were unanswered.
   uint64_t skipped() const { return this->skipped_calls; }
-  // How far the sends fell behind their planned times, at worst.
+  // Maximum delay of a call behind its planned time.
   Duration worst_lag() const { return this->max_lag; }
 
  private:
--- a/knapweedroad/load/plan_fields.cc
+++ b/knapweedroad/load/plan_fields.cc
@@ -38,7 +38,7 @@
     return default_value;
   }
   if (!field->is_string()) {
-    this->AddError(name, "expected a text");
+    this->AddError(name, "expected a string");
     return default_value;
   }
   return field->get<std::string>();
@@ -50,7 +50,7 @@
     return default_value;
   }
   if (!field->is_number() || field->get<double>() < 0) {
-    this->AddError(name, "expected a number of zero or more");
+    this->AddError(name, "expected a non-negative number");
     return default_value;
   }
   return field->get<double>();
@@ -71,7 +71,7 @@
   }
   if (!field->is_number_unsigned() ||
       field->get<uint64_t>() > std::numeric_limits<uint32_t>::max()) {
-    this->AddError(name, "expected a whole number of zero or more");
+    this->AddError(name, "expected a non-negative integer");
     return default_value;
   }
   return field->get<uint32_t>();
@@ -100,7 +100,7 @@
 std::string PlanFields::RequiredText(const char* name) {
   std::string text = this->Text(name, "");
   if (text.empty()) {
-    this->AddError(name, "is needed");
+    this->AddError(name, "required field is missing");
   }
   return text;
 }
@@ -108,7 +108,7 @@
 double PlanFields::RequiredNumber(const char* name) {
   const double number = this->Number(name, 0.0);
   if (number == 0.0) {
-    this->AddError(name, "is needed, above zero");
+    this->AddError(name, "required, must be above zero");
   }
   return number;
 }
@@ -116,7 +116,7 @@
 Duration PlanFields::RequiredMilliseconds(const char* name) {
   const Duration time = this->Milliseconds(name, Duration::zero());
   if (time == Duration::zero()) {
-    this->AddError(name, "is needed, above zero");
+    this->AddError(name, "required, must be above zero");
   }
   return time;
 }
@@ -125,7 +125,7 @@
   const json* field = this->Find(name);
   std::vector<const json*> elements;
   if (field != nullptr && !field->is_array()) {
-    this->AddError(name, "expected a list");
+    this->AddError(name, "expected an array");
     return elements;
   }
   if (field != nullptr) {
@@ -134,7 +134,7 @@
     }
   }
   if (required && elements.empty()) {
-    this->AddError(name, "is needed, with at least one entry");
+    this->AddError(name, "required, must have at least one element");
   }
   return elements;
 }
--- a/knapweedroad/load/plan_fields.h
+++ b/knapweedroad/load/plan_fields.h
@@ -1,9 +1,9 @@
-// Reads one JSON object of a scenario field by field and notes each error with
-// its place, so that all errors of a file show at once.
+// Reads the fields of one JSON object of a scenario and collects each error
+// with its JSON path, so that all errors of a file are reported together.
 //
 //   PlanFields fields(object, "/streams/0", errors);
-//   stream.limit = fields.Whole("limit", 100);
-//   fields.Finish();  // whatever is left is unknown
+//   stream.limit = fields.UnsignedInteger("limit", 100);
+//   fields.ReportUnknownFields();
 
 #ifndef KNAPWEEDROAD_LOAD_PLAN_FIELDS_H_
 #define KNAPWEEDROAD_LOAD_PLAN_FIELDS_H_
@@ -21,12 +21,13 @@
 
 class PlanFields {
  public:
-  // All three outlive this.
+  // `object` and `errors` must outlive this object.
   PlanFields(const nlohmann::json& object,
              std::string path,
              std::vector<std::string>& errors);
 
-  // Each reads a field, or gives the default where it is absent.
+  // Each returns the value of a field, or `default_value` if it is absent. An
+  // invalid value adds an error.
   std::string Text(const char* name, const char* default_value);
   double Number(const char* name, double default_value);
   double Share(const char* name, double default_value);
@@ -35,19 +36,20 @@
   // `name` ends in _ms.
   Duration Milliseconds(const char* name, Duration default_value);
 
-  // As above; an error where the field is absent.
+  // As above, but an absent field adds an error.
   std::string RequiredText(const char* name);
   double RequiredNumber(const char* name);
   Duration RequiredMilliseconds(const char* name);
 
-  // The field itself, or nullptr.
+  // Returns the field, or nullptr if it is absent.
   const nlohmann::json* Find(const char* name);
-  // The elements of an array field; an error where it is no array.
+  // Returns the elements of an array field. Adds an error if it is not an
+  // array, or if it is required and has no elements.
   std::vector<const nlohmann::json*> Elements(const char* name, bool required);
 
   bool Has(const char* name) const;
   void AddError(const char* name, const std::string& expected);
-  // Notes every field that nobody has read.
+  // Adds an error for every field that was not read.
   void ReportUnknownFields();
 
   const std::string& path() const { return this->json_path; }
--- a/knapweedroad/load/report_compare.cc
+++ b/knapweedroad/load/report_compare.cc
@@ -15,7 +15,7 @@
 constexpr int kPathWidth = 52;
 constexpr int kCellWidth = 14;
 
-// Figures by their path: "total.answers.p99_ms".
+// Figures by their path, such as "total.answers.p99_ms".
 using Figures = std::map<std::string, double>;
 
 void Collect(const json& value, const std::string& path, Figures& figures) {
@@ -39,7 +39,7 @@
   if (!report.is_object() || !report.contains("total") ||
       !report.contains("seconds")) {
     return tl::unexpected(std::string(which) +
-                          " is no report of the load command");
+                          " is not a JSON report of the load command");
   }
   return report;
 }
--- a/knapweedroad/load/report_compare.h
+++ b/knapweedroad/load/report_compare.h
@@ -1,4 +1,4 @@
-// Two runs' JSON reports side by side, and plots of one.
+// Compares the JSON reports of two runs, and plots a report.
 
 #ifndef KNAPWEEDROAD_LOAD_REPORT_COMPARE_H_
 #define KNAPWEEDROAD_LOAD_REPORT_COMPARE_H_
@@ -10,14 +10,14 @@
 
 namespace knapweedroad {
 
-// A line for every figure that either report has, with the ratio of the second
-// to the first. The error says which report can't be read.
+// Returns a line for every figure in either report, with the ratio of the
+// second to the first. The error names the report that is invalid.
 tl::expected<std::string, std::string> CompareReports(std::string_view first,
                                                       std::string_view second);
 
-// A gnuplot script, its data inside, that draws a report second by second:
-// calls by how they ended, and the latency of the answers. It writes
-// `image`, a PNG file.
+// Returns a gnuplot script with inline data that plots, per second, the calls
+// by outcome and the latency of answers. The script writes the PNG file
+// `image`. Returns an error if the report is invalid.
 tl::expected<std::string, std::string> PlotReport(std::string_view report,
                                                   std::string_view image);
 
--- a/knapweedroad/load/scenarios_test.cc
+++ b/knapweedroad/load/scenarios_test.cc
@@ -9,7 +9,7 @@
 namespace knapweedroad {
 namespace {
 
-Test(Scenarios, EveryOneOfTheBenchIsAPlan) {
+Test(Scenarios, EveryBenchScenarioIsValid) {
   size_t read = 0;
   for (const auto& entry :
        std::filesystem::directory_iterator(KWR_SCENARIO_FOLDER)) {
--- a/knapweedroad/load/target_controls.cc
+++ b/knapweedroad/load/target_controls.cc
@@ -19,7 +19,7 @@
 constexpr size_t kIdsInOneRequest = 5000;
 constexpr int kStatusOk = 200;
 
-// The ids from `first` on, as many as go into one request.
+// Returns the ids from index `first`, up to the limit of one request.
 json Slice(const std::vector<std::string>& ids, size_t first) {
   if (first >= ids.size()) {
     return json::array();
@@ -74,7 +74,7 @@
         this->SendRequest(control, "POST", "/v1/stand-in/fault", fault) ? 1 : 0;
   }
   if (accepted_count == 0) {
-    this->failure_messages.push_back("no target took " + fault + " (" +
+    this->failure_messages.push_back("no target accepted " + fault + " (" +
                                      selection.targets + ")");
   }
   return accepted_count;
@@ -122,7 +122,7 @@
   const json found = json::parse(body, nullptr, false);
   if (!found.is_object()) {
     this->failure_messages.emplace_back(
-        "an answer about executions can't be read");
+        "invalid JSON in an answer about executions");
     return;
   }
   for (const auto& [id, count] : found.at("request_ids").items()) {
--- a/knapweedroad/load/target_controls.h
+++ b/knapweedroad/load/target_controls.h
@@ -1,4 +1,4 @@
-// The control addresses of a deployment's stand-in searchers.
+// A client of the control addresses of a deployment's stand-in searchers.
 //
 //   TargetControls controls(runtime, endpoints);
 //   controls.Discover();
@@ -23,31 +23,32 @@
 class HttpClient;
 class Runtime;
 
-// Which targets a fault goes to: by name (see MatchesPatterns()), by zone, and
-// of the rest each `every`th.
+// Selects the targets of a fault: by name (see MatchesPatterns()) and zone, and
+// of the matching targets every `every`-th.
 struct TargetSelection {
   std::string targets = "*";
   std::optional<ZoneId> zone;
   uint32_t every = 1;
 };
 
-// Each call blocks the calling fiber. A target that doesn't answer is named in
-// failures().
+// Each call blocks the calling fiber. Failed requests are recorded in
+// failures() with the target's control address.
 class TargetControls {
  public:
   TargetControls(Runtime& runtime, const std::vector<Endpoint>& endpoints);
   ~TargetControls();
 
-  // Asks each for its name and zone; SendFault() needs them.
+  // Requests each target's name and zone. Must be called before SendFault().
   void Discover();
 
-  // Sends a fault to the selected targets; how many took it.
+  // Sends a fault to the selected targets and returns how many accepted it.
+  // Records a failure if none did.
   size_t SendFault(const std::string& fault, const TargetSelection& selection);
 
-  // What each target counted so far.
+  // Returns the counts of each target that answers.
   std::vector<TargetCounts> Counts();
 
-  // What they executed, all together.
+  // Returns how often all targets together executed each request and key.
   ExecutionCounts Executions(const std::vector<std::string>& requests,
                              const std::vector<std::string>& keys);
 
@@ -63,7 +64,7 @@
     ZoneId zone;
   };
 
-  // The body of a 200 answer.
+  // Returns the body of a 200 answer, or nullopt after recording a failure.
   std::optional<std::string> SendRequest(Control& control,
                                          const char* method,
                                          const char* path,
--- a/knapweedroad/load/timeline_runner.cc
+++ b/knapweedroad/load/timeline_runner.cc
@@ -75,8 +75,8 @@
   }
 }
 
-// The targets learn of the change after it was accepted, so that their count
-// of late work begins no earlier than the tier's duty.
+// Notifies the targets only after a host accepted the zone's removal, so that
+// they count late work only once the tier must stop sending to the zone.
 bool TimelineRunner::ChangeZone(const ZoneId& zone, bool out) {
   if (!out) {
     this->controls->SendFault(R"({"fault": "mark_zone_in"})", {.zone = zone});
--- a/knapweedroad/load/timeline_runner.h
+++ b/knapweedroad/load/timeline_runner.h
@@ -1,4 +1,4 @@
-// Does a plan's faults and zone changes at their times.
+// Applies a plan's faults and zone changes at their planned times.
 
 #ifndef KNAPWEEDROAD_LOAD_TIMELINE_RUNNER_H_
 #define KNAPWEEDROAD_LOAD_TIMELINE_RUNNER_H_
@@ -22,17 +22,18 @@
 
 class TimelineRunner {
  public:
-  // All outlive this.
+  // All arguments must outlive this object.
   TimelineRunner(Runtime& runtime,
                  const LoadRunOptions& options,
                  TargetControls& controls);
   ~TimelineRunner();
 
-  // Ends all lasting faults, takes in the zones that Start() took out, and
-  // resets the targets' counts. Blocks the calling fiber.
+  // Clears all lasting faults, returns the zones that events took out of
+  // service, ends all cold starts if `warm_up_targets` is set, and resets the
+  // targets' counts. Blocks the calling fiber.
   void ResetDeployment();
 
-  // Does each event in a fiber of its own; they use this object until done().
+  // Applies each event in its own fiber. This object must exist until done().
   void Start(TimePoint run_start);
   bool done() const { return this->pending_events == 0; }
 
