--- a/knapweedroad/load/load_command.cc
+++ b/knapweedroad/load/load_command.cc
@@ -17,7 +17,7 @@
 std::optional<std::string> ReadFile(const std::string& file) {
   std::ifstream in(file);
   if (!in) {
-    std::cerr << file << ": can't be read\n";
+    std::cerr << file << ": cannot read file\n";
     return std::nullopt;
   }
   std::ostringstream text;
@@ -30,7 +30,7 @@
   out << text;
   out.flush();
   if (!out) {
-    std::cerr << file << ": can't be written\n";
+    std::cerr << file << ": cannot write file\n";
     return false;
   }
   return true;
@@ -81,14 +81,14 @@
   }
   LoadRunOptions run{.plan = std::move(*plan),
                      .run = options.run.empty() ? RunName() : options.run,
-                     .warms_targets = options.warms_targets};
+                     .warm_up_targets = options.warm_up_targets};
   if (!ReadAddresses("callers", options.callers, run.callers) ||
       !ReadAddresses("operators", options.operators, run.operators) ||
       !ReadAddresses("controls", options.controls, run.controls)) {
     return std::nullopt;
   }
   if (run.callers.empty()) {
-    std::cerr << "--callers: at least one address is needed\n";
+    std::cerr << "--callers: at least one address is required\n";
     return std::nullopt;
   }
   return run;
@@ -120,7 +120,7 @@
   if (!WriteOutputs(options, report)) {
     return kLoadExitUsage;
   }
-  return report.HasBrokenPromise() ? kLoadExitBroken : kLoadExitKept;
+  return report.HasViolation() ? kLoadExitViolation : kLoadExitOk;
 }
 
 int RunLoadCompareCommand(const std::string& first_file,
@@ -136,7 +136,7 @@
     return kLoadExitUsage;
   }
   std::cout << *compared;
-  return kLoadExitKept;
+  return kLoadExitOk;
 }
 
 int RunLoadPlotCommand(const std::string& file, const std::string& image) {
@@ -150,7 +150,7 @@
     return kLoadExitUsage;
   }
   std::cout << *plot;
-  return kLoadExitKept;
+  return kLoadExitOk;
 }
 
 }  // namespace knapweedroad
--- a/knapweedroad/load/load_tally.h
+++ b/knapweedroad/load/load_report_builder.h
@@ -1,11 +1,11 @@
-// Collects the ended calls of a run into a report.
+// Builds a report from the completed calls of a run.
 //
-//   LoadTally tally(plan);
-//   tally.Add(call, planned_at);
-//   LoadReport report = tally.Report();
+//   LoadReportBuilder report_builder(plan);
+//   report_builder.Add(call, planned_at);
+//   LoadReport report = report_builder.Report();
 
-#ifndef KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
-#define KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
+#ifndef KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
+#define KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
 
 #include <cstdint>
 #include <map>
@@ -20,20 +20,21 @@
 struct CallRecord;
 struct LoadPlan;
 
-class LoadTally {
+class LoadReportBuilder {
  public:
-  // The plan outlives this.
-  explicit LoadTally(const LoadPlan& plan);
+  // `plan` must outlive this object.
+  explicit LoadReportBuilder(const LoadPlan& plan);
 
-  // A call has ended that was planned at `at` since the run's start.
+  // Records a completed call; `at` is its planned time since the start of the
+  // run.
   void Add(const CallRecord& call, Duration at);
 
-  // The callers' side of the report; targets, broken promises and the
-  // generator's part are for others to fill in.
+  // Returns the results of the calls. The caller fills in the results of
+  // targets, the violations and the generator's figures.
   LoadReport Report() const;
 
-  // Sub-requests that all answers so far needed at least.
-  uint64_t least_needed() const { return this->needed; }
+  // Minimum number of sub-requests that the answers recorded so far required.
+  uint64_t min_sub_requests() const { return this->required_sub_requests; }
 
  private:
   struct Group {
@@ -51,7 +52,7 @@
   void AddToSecond(const CallRecord& call, Duration at);
   void AddStatus(const CallRecord& call);
   void AddCoverage(const CallRecord& call);
-  void AddNeeded(const CallRecord& call);
+  void AddRequiredSubRequests(const CallRecord& call);
   static GroupReport Summarize(const Group& group);
   static std::map<std::string, GroupReport> Summarize(const Groups& groups);
 
@@ -64,10 +65,10 @@
   LoadReport report;
   double coverage_sum = 0.0;
   uint64_t coverage_count = 0;
-  uint64_t whole_count = 0;
-  uint64_t needed = 0;
+  uint64_t complete_count = 0;
+  uint64_t required_sub_requests = 0;
 };
 
 }  // namespace knapweedroad
 
-#endif  // KNAPWEEDROAD_LOAD_LOAD_TALLY_H_
+#endif  // KNAPWEEDROAD_LOAD_LOAD_REPORT_BUILDER_H_
--- a/knapweedroad/load/load_runner_test.cc
+++ b/knapweedroad/load/load_runner_test.cc
@@ -27,7 +27,7 @@
   return plan;
 }
 
-// What a host would answer that covers the only service.
+// Returns a host's answer with full coverage of the only service.
 HttpResponse TrueAnswer(const HttpRequest& request) {
   const std::string query = json::parse(request.body).at("query");
   json hits = json::array();
@@ -69,7 +69,7 @@
   return runner.Run();
 }
 
-Test(LoadRunner, FindsNothingWrongWithTrueAnswers) {
+Test(LoadRunner, AcceptsCorrectAnswers) {
   Runtime runtime;
   const LoadReport report =
       RunAgainst(runtime, [](const HttpRequest& request, HttpExchange&) {
@@ -79,10 +79,10 @@
   cr_assert_eq(report.total.answered, report.answers_checked);
   cr_assert_eq(report.targets.targets, 1);
   cr_assert(report.generator.timeline_failures.empty());
-  cr_assert(!report.HasBrokenPromise());
+  cr_assert(!report.HasViolation());
 }
 
-Test(LoadRunner, FindsAnswersThatAreAnotherQuerys) {
+Test(LoadRunner, DetectsAnswersOfAnotherQuery) {
   Runtime runtime;
   const LoadReport report =
       RunAgainst(runtime, [](const HttpRequest& request, HttpExchange&) {
@@ -90,8 +90,8 @@
         other.body = R"({"query": "another"})";
         return TrueAnswer(other);
       });
-  cr_assert(report.HasBrokenPromise());
-  cr_assert_eq(report.broken.at("hits_not_of_the_snapshot"),
+  cr_assert(report.HasViolation());
+  cr_assert_eq(report.violations.at("hits_not_of_the_snapshot"),
                report.answers_checked);
 }
 
