--- a/knapweedroad/metrics/host_metrics.h
+++ b/knapweedroad/metrics/host_metrics.h
@@ -1,11 +1,11 @@
-// What one host measures, for Prometheus.
+// The Prometheus metrics of one host.
 //
 //   HostMetrics metrics;
 //   metrics.ObserveRequest(front, tenant, "normal", 200, latency);
 //   std::string text = metrics.PrometheusText();
 //
-// Latency histograms by front, tenant and class; a counter for each kind of
-// decision.
+// Requests have a latency histogram by front, tenant and class, and a counter
+// by these and the status. Each kind of decision has a counter.
 
 #ifndef KNAPWEEDROAD_METRICS_HOST_METRICS_H_
 #define KNAPWEEDROAD_METRICS_HOST_METRICS_H_
@@ -27,24 +27,28 @@
   HostMetrics();
   ~HostMetrics();
 
+  // Records one answered request: its HTTP status, and its latency from the
+  // first byte of the request to the answer.
   void ObserveRequest(const FrontId& front,
                       const TenantId& tenant,
                       std::string_view request_class,
                       int status,
                       Duration latency);
-  // From 0 to 1.
+  // Records the share of the index that an answer covers, from 0 to 1.
   void ObserveCoverage(const FrontId& front,
                        const TenantId& tenant,
                        double coverage);
-  // First tries, hedges, retries and restarts of one request.
+  // Adds the first attempts, hedges, retries, restarts and wrong-snapshot
+  // replies of one request to the counters of its front.
   void CountAttempts(const FrontId& front, const QueryRunStats& stats);
-  // How many decisions of a kind, such as "lease_changed" or
-  // "refused_overloaded", there have been since the start; never falls.
+  // Sets the number of decisions of a kind, such as "lease_changed" or
+  // "refused_overloaded", since the host started. The counter never decreases:
+  // a lower `count` is ignored.
   void SetDecisionCount(std::string_view kind, uint64_t count);
-  // A value that goes up and down, such as "targets_held".
+  // Sets a value that may rise and fall, such as "targets_held".
   void SetGauge(std::string_view name, double value);
 
-  // The Prometheus text format.
+  // Returns all metrics in the Prometheus text format.
   std::string PrometheusText() const;
 
  private:
--- a/knapweedroad/target/attempt_id.h
+++ b/knapweedroad/target/attempt_id.h
@@ -1,4 +1,4 @@
-// The name of one attempt: a request sent to one target once.
+// The identifier of one attempt: one request sent once to one target.
 
 #ifndef KNAPWEEDROAD_TARGET_ATTEMPT_ID_H_
 #define KNAPWEEDROAD_TARGET_ATTEMPT_ID_H_
@@ -7,8 +7,9 @@
 
 namespace knapweedroad {
 
-// Unique over all hosts and their restarts, so it is never made from what a
-// caller sent: two callers may use the same request id. A target echoes it.
+// Unique across all hosts and their restarts. It is never derived from a
+// caller's request id, because two callers may send the same one. The target
+// returns the id in its reply.
 using AttemptId = Id<struct AttemptTag>;
 
 }  // namespace knapweedroad
--- a/knapweedroad/target/held_target.h
+++ b/knapweedroad/target/held_target.h
@@ -1,4 +1,5 @@
-// A host's claim that a target is its to talk to.
+// A host's claim that it may send requests to a target. Heartbeats carry these
+// claims to the other hosts.
 
 #ifndef KNAPWEEDROAD_TARGET_HELD_TARGET_H_
 #define KNAPWEEDROAD_TARGET_HELD_TARGET_H_
@@ -12,16 +13,17 @@
 
 struct HeldTarget {
   TargetId target;
-  // What it may use now.
+  // The number of the target's slots that the host may use now.
   uint32_t slots = 0;
-  // Without a majority of its zone: another host may hold the target too, for
-  // the rest of the slots.
+  // True if the host can't reach a majority of the hosts in its zone. Another
+  // host may then hold the target too, for the remaining slots.
   bool isolated = false;
-  // For how long it has held the target when it says so. Ages are sent, as
-  // moments of a host's clock mean nothing to another.
+  // How long the host has held the target at the time of the claim. This is a
+  // duration rather than a time point because the clocks of two hosts can't be
+  // compared.
   Duration held_for{};
 
-  // For cereal.
+  // Serializes for cereal. The order of the fields is the wire format.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->slots, this->isolated, this->held_for);
--- a/knapweedroad/target/target_candidate.h
+++ b/knapweedroad/target/target_candidate.h
@@ -1,6 +1,8 @@
-// A target as a coordinator sees it when it chooses whom to ask.
+// The state of a target that a coordinator uses to choose where to send a
+// request.
 //
-//   std::vector<TargetCandidate> candidates = directory.Candidates(service);
+//   std::vector<TargetCandidate> candidates =
+//       directory.Candidates(front, service, now);
 
 #ifndef KNAPWEEDROAD_TARGET_TARGET_CANDIDATE_H_
 #define KNAPWEEDROAD_TARGET_TARGET_CANDIDATE_H_
@@ -18,13 +20,14 @@
   TargetId target;
   ZoneId zone;
   TargetState state = TargetState::kReady;
-  // Snapshots it said it can answer from.
+  // Snapshots that the target can answer from, according to its last report.
   std::vector<SnapshotId> snapshots;
-  // Requests that run on it and that wait for it, as far as this host knows.
-  // Both lag.
+  // Requests that run on the target and that wait there, according to its last
+  // report. Both values lag behind the target's actual load.
   uint32_t in_flight = 0;
   uint32_t queued = 0;
-  // False for one that may get no new work: unheard, its zone out, leaving.
+  // False if the target must get no new work: its last report is stale, its
+  // zone is out of service, or it is leaving.
   bool usable = true;
 };
 
--- a/knapweedroad/target/target_report.h
+++ b/knapweedroad/target/target_report.h
@@ -1,7 +1,8 @@
-// What a target says of itself: announcement, load report and leaving in one.
+// The report that a target sends about itself: it announces the target, states
+// its load and says when the target is leaving.
 //
-// Reports lag and may mislead. They are hints for every decision but two: a
-// target that says it is cold or leaving is believed at once.
+// Reports lag and may be wrong, so they are only hints. The exceptions are the
+// states kCold and kLeaving, which take effect as soon as they are received.
 
 #ifndef KNAPWEEDROAD_TARGET_TARGET_REPORT_H_
 #define KNAPWEEDROAD_TARGET_TARGET_REPORT_H_
@@ -15,6 +16,8 @@
 
 namespace knapweedroad {
 
+// Whether a target is cold after a start, ready for its full load, or leaving
+// and so must get no new work. The numbers are part of the wire format.
 enum class TargetState : uint8_t { kCold, kReady, kLeaving };
 
 struct TargetReport {
@@ -22,21 +25,22 @@
   FrontId front;
   ServiceId service;
   ZoneId zone;
-  // Where it takes requests: "IP:PORT".
+  // The address on which the target accepts requests, as "IP:PORT".
   std::string address;
-  // Grows with each start of the target under its name; with `sequence`, which
-  // grows with each report of one incarnation, it orders reports. An older
-  // report never replaces a newer one.
+  // `incarnation` increases with each start of the target under the same id,
+  // and `sequence` with each report of one incarnation. Reports are ordered by
+  // (incarnation, sequence). An older report never replaces a newer one.
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
   TargetState state = TargetState::kCold;
-  // Snapshots it can answer from, newest last.
+  // Snapshots that the target can answer from, newest last.
   std::vector<SnapshotId> snapshots;
-  // Its own count of requests it runs and of those that wait.
+  // Requests that run on the target and that wait there, as counted by the
+  // target.
   uint32_t in_flight = 0;
   uint32_t queued = 0;
 
-  // For cereal.
+  // Serializes for cereal. The order of the fields is the wire format.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->target, this->front, this->service, this->zone, this->address,
