--- a/knapweedroad/target/target_report.h
+++ b/knapweedroad/target/target_report.h
@@ -16,8 +16,8 @@
 
 namespace knapweedroad {
 
-// Whether a target is cold after a start, ready for its full load, or leaving
-// and so must get no new work. The numbers are part of the wire format.
+// The state of a target. A cold target bears less load than a ready one, and a
+// leaving target must get no new work. The numbers are part of the wire format.
 enum class TargetState : uint8_t { kCold, kReady, kLeaving };
 
 struct TargetReport {
