--- a/knapweedroad/membership/heartbeat.h
+++ b/knapweedroad/membership/heartbeat.h
@@ -1,6 +1,3 @@
-// What every host tells every other one several times a second, over UDP and,
-// where that is silent, over TCP.
-
 #ifndef KNAPWEEDROAD_MEMBERSHIP_HEARTBEAT_H_
 #define KNAPWEEDROAD_MEMBERSHIP_HEARTBEAT_H_
 
@@ -13,25 +10,31 @@
 
 namespace knapweedroad {
 
+// The state that each host sends to every other host several times a second,
+// over UDP, and over TCP to hosts from which no message has arrived recently.
 struct Heartbeat {
   HostId host;
   ZoneId zone;
-  // Grows with each start of the host; with `sequence`, which grows with each
-  // heartbeat, it orders them. The same one may be sent over both ways.
+  // Increases with each start of the host. Heartbeats of one host are ordered
+  // by `incarnation`, then by `sequence`, which increases with each heartbeat.
+  // The same heartbeat may arrive over both UDP and TCP.
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  // The version of the configuration in force there.
+  // The version of the configuration in force on the host.
   uint64_t configuration_version = 0;
-  // Whether it can be granted leases now: it reaches a majority of its zone's
-  // electorate and isn't leaving.
+  // Whether the host can be granted leases now: it reaches a majority of its
+  // zone's electorate and is not leaving.
   bool can_hold_leases = false;
   bool leaving = false;
-  // All that it holds: what isn't named, it doesn't hold.
+  // All targets that the host holds. It does not hold any target that is not
+  // listed here.
   std::vector<HeldTarget> held_targets;
-  // Reports that it had since its last heartbeat.
+  // Target reports that are due to be relayed. A heartbeat has a limited number
+  // of them; the others follow in later heartbeats.
   std::vector<RelayedReport> reports;
 
-  // For cereal; <chrono>, <string> and <vector> of it are needed beside.
+  // Serializes the fields in order, for cereal. Callers must also include
+  // cereal's support for <chrono>, <string> and <vector>.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->host, this->zone, this->incarnation, this->sequence,
--- a/knapweedroad/membership/holder_directory.h
+++ b/knapweedroad/membership/holder_directory.h
@@ -1,13 +1,3 @@
-// Which host to go through for a target, from what the hosts claim.
-//
-//   if (view.OnHeartbeat(heartbeat, now)) directory.OnHeartbeat(heartbeat,
-//   now); std::optional<HostId> holder = directory.HolderOf(target, now);
-//
-// It may be wrong for a moment; the host that is asked then says that it isn't
-// the holder. Of two claims the later one counts: each says for how long its
-// host has held the target, so that a claim that was delayed on its way doesn't
-// replace the one of its successor.
-
 #ifndef KNAPWEEDROAD_MEMBERSHIP_HOLDER_DIRECTORY_H_
 #define KNAPWEEDROAD_MEMBERSHIP_HOLDER_DIRECTORY_H_
 
@@ -22,23 +12,44 @@
 
 struct Heartbeat;
 
+// Records which host holds each target, from the claims in the hosts'
+// heartbeats. Requests for a target are sent through its holder.
+//
+//   if (view.OnHeartbeat(heartbeat, now)) {
+//     directory.OnHeartbeat(heartbeat, now);
+//   }
+//   std::optional<HostId> holder = directory.HolderOf(target, now);
+//
+// The directory may be out of date for a short time. A host that receives a
+// request for a target that it does not hold rejects the request.
+//
+// If several hosts claim a target, the one that started to hold it last is the
+// holder. Each claim states for how long its host has held the target, so a
+// delayed claim of a former holder does not replace that of its successor.
 class HolderDirectory {
  public:
   struct Options {
-    // A claim that was not repeated for this long is over.
+    // A claim expires if no heartbeat has repeated it for this long.
     Duration claim_timeout = std::chrono::seconds(2);
   };
 
   explicit HolderDirectory(const Options& options) : options(options) {}
 
-  // Of one that `HostView` took: later ones of the same host only. A target
-  // that the host doesn't name any more is no longer its own.
+  // Replaces all claims of the heartbeat's host with those in `heartbeat`. Call
+  // this only for heartbeats that `HostView::OnHeartbeat()` accepted, which
+  // excludes delayed and duplicate ones.
   void OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
 
-  // The host says that it isn't the holder, or it has gone.
+  // Removes the claim of a host that has replied that it does not hold the
+  // target.
   void RemoveClaim(const TargetId& target, const HostId& host);
+
+  // Removes all claims of a host that has shut down.
   void RemoveHost(const HostId& host);
 
+  // Returns the host through which to reach `target`, or std::nullopt if no
+  // claim on it is current. A host that holds the target with a majority of its
+  // zone is preferred to an isolated one.
   std::optional<HostId> HolderOf(const TargetId& target, TimePoint now) const;
 
  private:
--- a/knapweedroad/membership/holder_directory_test.cc
+++ b/knapweedroad/membership/holder_directory_test.cc
@@ -24,9 +24,8 @@
   return heartbeat;
 }
 
-// The new holder's claim comes in, and after it one that the former holder had
-// sent before it gave the target away. The older one must not send callers
-// back.
+// The former holder's last claim is delayed and arrives after the claim of the
+// new holder. Requests must not be routed to the former holder again.
 Test(HolderDirectory, DelayedClaimDoesNotReplaceLaterClaim) {
   HolderDirectory directory({});
   directory.OnHeartbeat(MakeClaim("b-new", milliseconds(10)), kStart);
--- a/knapweedroad/membership/host_view.cc
+++ b/knapweedroad/membership/host_view.cc
@@ -31,7 +31,7 @@
   const bool incarnation_reset =
       heartbeat.incarnation != entry.status.incarnation &&
       now - entry.last_received_at > this->options.incarnation_reset_after;
-  if (entry.received && !newer && !incarnation_reset) {
+  if (entry.message_received && !newer && !incarnation_reset) {
     return false;
   }
   if (heartbeat.incarnation != entry.status.incarnation) {
@@ -42,7 +42,7 @@
   entry.status.configuration_version = heartbeat.configuration_version;
   entry.status.leaving = heartbeat.leaving;
   entry.status.can_hold_leases = heartbeat.can_hold_leases;
-  entry.received = true;
+  entry.message_received = true;
   entry.last_received_at = now;
   return true;
 }
@@ -50,7 +50,7 @@
 void HostView::OnMessage(const HostId& host, TimePoint now) {
   const auto found = this->entries.find(host);
   if (found != this->entries.end()) {
-    found->second.received = true;
+    found->second.message_received = true;
     found->second.last_received_at =
         std::max(found->second.last_received_at, now);
   }
@@ -74,7 +74,7 @@
 }
 
 bool HostView::IsAlive(const Entry& entry, TimePoint now) const {
-  return entry.received && !entry.shut_down &&
+  return entry.message_received && !entry.shut_down &&
          now - entry.last_received_at < this->options.suspect_after;
 }
 
@@ -95,7 +95,7 @@
   for (const auto& [host, entry] : this->entries) {
     HostStatus status = entry.status;
     status.alive = this->IsAlive(entry, now);
-    if (entry.received) {
+    if (entry.message_received) {
       status.silent_for = now - entry.last_received_at;
     }
     statuses.push_back(std::move(status));
@@ -107,7 +107,7 @@
   return static_cast<uint32_t>(std::count_if(
       this->entries.begin(), this->entries.end(), [&](const auto& item) {
         const uint64_t version = item.second.status.configuration_version;
-        return item.second.received && version >= configuration_version;
+        return item.second.message_received && version >= configuration_version;
       }));
 }
 
--- a/knapweedroad/membership/host_view_test.cc
+++ b/knapweedroad/membership/host_view_test.cc
@@ -37,8 +37,9 @@
   cr_assert(!view.IsAlive(kHostB, kStart + seconds(1)));
 }
 
-// A firewall forgets the UDP flow between two hosts, or a TCP connection goes
-// silent. As long as anything at all comes through, the host isn't dead.
+// A firewall drops the state of the UDP flow between two hosts, or a TCP
+// connection stalls. The host must not count as dead while messages arrive over
+// any other channel.
 Test(HostView, MessageOnAnyChannelKeepsHostAlive) {
   HostView view = MakeTwoHostView();
   view.OnHeartbeat(MakeHeartbeat(1, 1), kStart);
@@ -50,7 +51,7 @@
   HostView view = MakeTwoHostView();
   view.OnHeartbeat(MakeHeartbeat(2, 5), kStart);
   cr_assert(!view.OnHeartbeat(MakeHeartbeat(2, 5), kStart),
-            "sent over both ways");
+            "duplicate received over the other channel");
   cr_assert(!view.OnHeartbeat(MakeHeartbeat(2, 4), kStart));
   cr_assert(!view.OnHeartbeat(MakeHeartbeat(1, 9), kStart));
   cr_assert_eq(view.CountHostsWithVersion(5), 1u);
@@ -64,8 +65,8 @@
   cr_assert(view.OnHeartbeat(MakeHeartbeat(3, 2), kStart + seconds(11)));
 }
 
-// A host says goodbye and exits. A heartbeat sent just before is delayed and
-// comes in now: no lease may be left for a host that is gone.
+// A heartbeat that a host sent just before its shutdown arrives after the
+// shutdown message. A host that has exited must not be granted leases.
 Test(HostView, ShutdownLastsUntilLaterIncarnation) {
   HostView view = MakeTwoHostView();
   view.OnHeartbeat(MakeHeartbeat(1, 1), kStart);
--- a/knapweedroad/membership/relayed_report.h
+++ b/knapweedroad/membership/relayed_report.h
@@ -1,5 +1,3 @@
-// A target's report as one host passes it on to another.
-
 #ifndef KNAPWEEDROAD_MEMBERSHIP_RELAYED_REPORT_H_
 #define KNAPWEEDROAD_MEMBERSHIP_RELAYED_REPORT_H_
 
@@ -8,12 +6,13 @@
 
 namespace knapweedroad {
 
+// A target's report that one host relays to another in a heartbeat.
 struct RelayedReport {
   TargetReport report;
-  // Since a host had it from the target itself.
+  // The time since a host received the report from the target itself.
   Duration age{};
 
-  // For cereal.
+  // Serializes the fields in order, for cereal.
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(this->report, this->age);
--- a/knapweedroad/membership/target_directory.cc
+++ b/knapweedroad/membership/target_directory.cc
@@ -42,8 +42,8 @@
   this->by_service[{report.front, report.service}].insert(report.target);
   entry.report = report;
   entry.received_at = received_at;
-  // A target that leaves is not chosen again in this life, whatever a report
-  // composed by another of its threads says a moment later.
+  // A target that is leaving stays so for the rest of its incarnation. Another
+  // of its threads may still send a report that it composed before.
   if (was_leaving) {
     entry.report.state = TargetState::kLeaving;
   }
--- a/knapweedroad/membership/target_directory_test.cc
+++ b/knapweedroad/membership/target_directory_test.cc
@@ -43,8 +43,8 @@
   cr_assert(!IsUsable(directory, kStart + seconds(5)));
 }
 
-// A target dies. A host that has just started hears of it from its peers, who
-// repeat its last report: it must not take a dead target for a fresh one.
+// A target dies, and a host that has just started receives the target's last
+// report from its peers. It must not take the dead target for a live one.
 Test(TargetDirectory, RelayedReportKeepsItsAge) {
   TargetDirectory directory({});
   directory.OnRelayedReport({.report = MakeReport(1, 1), .age = seconds(4)},
@@ -55,8 +55,8 @@
   cr_assert(!IsUsable(directory, kStart + seconds(1)));
 }
 
-// The announcement of leaving is overtaken by a report that another thread of
-// the target had composed before, with a higher number.
+// Another thread of the target sends a ready report with a higher sequence
+// number after the leaving report. The target must not become usable again.
 Test(TargetDirectory, LeavingLastsUntilNextIncarnation) {
   TargetDirectory directory({});
   directory.OnReport(MakeReport(1, 1, TargetState::kLeaving), kStart);
@@ -83,7 +83,8 @@
   cr_assert_eq(directory.TakePendingReports(9, kStart).size(), 1u);
   cr_assert(directory.TakePendingReports(9, kStart).empty());
   directory.OnRelayedReport({.report = MakeReport(1, 2), .age = {}}, kStart);
-  cr_assert(directory.TakePendingReports(9, kStart).empty(), "second-hand");
+  cr_assert(directory.TakePendingReports(9, kStart).empty(),
+            "a relayed report is not relayed again");
   const RelayedReport leaving{.report = MakeReport(1, 3, TargetState::kLeaving),
                               .age = milliseconds(5)};
   directory.OnRelayedReport(leaving, kStart);
@@ -100,7 +101,8 @@
   TargetDirectory directory({});
   directory.OnReport(MakeReport(9, 1), kStart);
   const TimePoint later = kStart + seconds(121);
-  cr_assert(directory.OnReport(MakeReport(1, 1), later), "a clock set back");
+  cr_assert(directory.OnReport(MakeReport(1, 1), later),
+            "the clock of the target was set back");
 }
 
 }  // namespace
