--- a/knapweedroad/storage/record_format.cc
+++ b/knapweedroad/storage/record_format.cc
@@ -81,8 +81,8 @@
   return false;
 }
 
-// The header at the start of `bytes` if it is the next one in order and what
-// belongs to it is whole.
+// Returns the header at the start of `bytes` if it has the expected sequence
+// number and its payload is complete and valid.
 std::optional<Header> ParseNext(std::string_view bytes,
                                 const std::vector<ParsedRecord>& records) {
   const std::optional<Header> header = ParseHeader(bytes);
@@ -126,7 +126,8 @@
     const std::string_view rest = bytes.substr(parsed.valid_bytes);
     const auto header = ParseNext(rest, parsed.records);
     if (!header.has_value()) {
-      // The first byte may belong to the damaged header itself.
+      // The search skips the first byte, so that it does not find the header of
+      // the invalid record itself.
       if (ContainsHeader(rest.substr(1))) {
         parsed.corruption_offset = parsed.valid_bytes;
       }
--- a/knapweedroad/storage/record_fuzz.cc
+++ b/knapweedroad/storage/record_fuzz.cc
@@ -1,8 +1,9 @@
-// libFuzzer target: the reader of record files over any bytes, and over whole
-// records that were damaged in one byte: never a record that wasn't written.
+// A libFuzzer target for ParseRecords(). It parses arbitrary bytes, and valid
+// records with one corrupted byte, from which no record may be returned that
+// was not written.
 //
 //   CC=clang-14 CXX=clang++-14 cmake -S . -B build-fuzz -G Ninja
-//       -DKWR_FUZZ=ON -DKWR_SANITIZE=ON   (one line)
+//       -DKWR_FUZZ=ON -DKWR_SANITIZE=ON   (continues the line above)
 //   ninja -C build-fuzz record_fuzz
 //   build-fuzz/knapweedroad/storage/record_fuzz -runs=200000 -seed=1
 
--- a/knapweedroad/storage/record_store.cc
+++ b/knapweedroad/storage/record_store.cc
@@ -28,12 +28,12 @@
 constexpr mode_t kFileMode = 0640;
 constexpr uint64_t kMinFileToSnapshotRatio = 8;
 constexpr std::string_view kCorruptionRemedy =
-    "; what had been synced is damaged. Don't delete single files: move the "
-    "whole data folder away and replace this replica by a new one (its host "
-    "joins blank under the same name)";
+    "; synced data is damaged. Do not delete single files: move the whole data "
+    "folder away and replace this replica with a new one (its host joins under "
+    "the same name with an empty data folder)";
 
-// The numbers of the folder's files, rising; temporary ones are removed, since
-// they were never renamed into place.
+// Returns the numbers of the folder's files in increasing order. Removes
+// temporary files: they were not complete, as they had not been renamed.
 std::vector<uint64_t> ListFiles(const std::string& folder) {
   std::vector<uint64_t> numbers;
   std::error_code error;
@@ -65,7 +65,7 @@
   return {.kind = StorageErrorKind::kCorrupted,
           .path = std::move(path),
           .offset = offset,
-          .detail = "bad record at byte " + std::to_string(offset) +
+          .detail = "corrupted record at byte " + std::to_string(offset) +
                     std::string(kCorruptionRemedy)};
 }
 
@@ -113,8 +113,9 @@
     return tl::unexpected(
         StorageError{.kind = StorageErrorKind::kLocked,
                      .path = folder,
-                     .detail = "another process uses this data folder; two "
-                               "would vote under one name"});
+                     .detail = "another process uses this data folder; stop "
+                               "it first, because two processes would vote "
+                               "under the same name"});
   }
   return {};
 }
@@ -135,7 +136,8 @@
   content << std::ifstream(path, std::ios::binary).rdbuf();
   const std::string bytes = std::move(content).str();
   const ParsedRecords parsed = ParseRecords(bytes);
-  // A file is renamed into place only once its first record is synced.
+  // A file gets its final name only after its first record has been synced, so
+  // a file without records is corrupted.
   if (parsed.corruption_offset.has_value() || parsed.records.empty()) {
     return tl::unexpected(
         CorruptionError(path, parsed.corruption_offset.value_or(0)));
@@ -172,7 +174,7 @@
         StorageError{.kind = StorageErrorKind::kFailed,
                      .path = this->options.folder,
                      .detail = "an earlier write or sync failed; restart the "
-                               "process once the disk is sound"});
+                               "process once the disk works again"});
   }
   ++this->counters.appends;
   if (this->file < 0) {
--- a/knapweedroad/storage/record_store.h
+++ b/knapweedroad/storage/record_store.h
@@ -1,11 +1,3 @@
-// The durable records of one process under one data folder.
-//
-//   auto store = RecordStore::Open({.folder = "/var/lib/knapweedroad",
-//                                   .snapshot = [&] { return Encode(state); }},
-//                                  [&](std::string_view record) { ... });
-//   if (!store) Refuse(store.error());
-//   auto synced = (*store)->Append(record);   // on the disk once it returns
-
 #ifndef KNAPWEEDROAD_STORAGE_RECORD_STORE_H_
 #define KNAPWEEDROAD_STORAGE_RECORD_STORE_H_
 
@@ -23,42 +15,54 @@
 namespace knapweedroad {
 
 struct RecordStoreOptions {
-  // Made if it isn't there.
+  // The data folder; created if it does not exist.
   std::string folder;
-  // The whole state as one record, the one being appended included. It starts
-  // each new file, so that a restart reads one file of bounded length.
+  // Returns the whole state as one record, including the record that is being
+  // appended. Each new file starts with it, so that a restart reads only one
+  // file of bounded length.
   std::function<std::string()> snapshot;
-  // A file longer than this, and than eight times its first record, is
-  // followed by a new one.
+  // The next append starts a new file once the current one is longer than this
+  // and longer than eight times its first record.
   uint64_t max_file_bytes = 1 << 20;
-  // For tests: called before each sync; true makes it fail.
+  // For tests. Called before each sync, which fails if this returns true.
   std::function<bool()> sync_fails;
 };
 
-// Counted since Open().
+// Counters since the start of Open().
 struct RecordStoreStats {
   uint64_t appends = 0;
   uint64_t syncs = 0;
   uint64_t bytes_written = 0;
   uint64_t files_created = 0;
-  // By Open().
+  // Records replayed by Open().
   uint64_t records_read = 0;
+  // The length of the torn tail that Open() removed.
   uint64_t torn_bytes_truncated = 0;
 };
 
-// Guards against four failures:
-//  - a crash in the middle of a write: the torn tail is cut. It was never
-//    synced, so nothing was answered on the strength of it;
-//  - damage to what had been synced: Open() refuses. To start from an older
-//    record would be to forget a vote that was answered;
-//  - a record that a crashed process wrote but never synced and that is still
-//    readable: Open() syncs before it hands anything out;
-//  - a failed sync: the pages may be dropped and a second sync may claim
-//    success, so every later Append() fails too.
+// Stores the records of one process durably in one data folder.
+//
+//   auto store = RecordStore::Open({.folder = "/var/lib/knapweedroad",
+//                                   .snapshot = [&] { return Encode(state); }},
+//                                  [&](std::string_view record) { ... });
+//   if (!store) return store.error();
+//   auto result = (*store)->Append(record);
+//   if (result) SendReply();  // The record is on the disk.
+//
+// Handles four failures:
+//  - A crash during a write. Open() truncates the torn tail. It had not been
+//    synced, so no reply depended on it.
+//  - Corruption of synced data. Open() fails. A start from an older record
+//    would lose a vote that had been sent.
+//  - A record that a crashed process wrote but did not sync, and that is still
+//    readable. Open() syncs the file before it replays any record.
+//  - A failed sync. The kernel may drop the unwritten pages, and a second sync
+//    may then report success, so every later Append() fails.
 class RecordStore {
  public:
-  // Locks the folder and hands every record to `replay`, oldest first; nothing
-  // is handed out on an error. A new folder has no records.
+  // Locks the folder and passes the records of the newest file to `replay`,
+  // oldest first. A new folder has no records. On an error, `replay` is not
+  // called. Errors are kLocked, kIo and kCorrupted.
   static tl::expected<std::unique_ptr<RecordStore>, StorageError> Open(
       RecordStoreOptions options,
       const std::function<void(std::string_view record)>& replay);
@@ -67,8 +71,14 @@
   RecordStore(const RecordStore&) = delete;
   RecordStore& operator=(const RecordStore&) = delete;
 
-  // Writes the record and syncs it; blocks the thread. The first record of a
-  // new folder must hold the whole state, as a snapshot does.
+  // Writes and syncs the record, blocking the thread. When this returns without
+  // an error, the record is on the disk, or a snapshot that includes it. The
+  // first record of a new folder must contain the whole state, as a snapshot
+  // does.
+  //
+  // Fails with kIo if a system call fails, and with kFailed on every call after
+  // that. The record may then still be replayed after a restart, so the caller
+  // must treat its outcome as unknown and restart the process.
   tl::expected<void, StorageError> Append(std::string_view record);
 
   const RecordStoreStats& stats() const { return this->counters; }
--- a/knapweedroad/storage/record_store_test.cc
+++ b/knapweedroad/storage/record_store_test.cc
@@ -12,7 +12,8 @@
 namespace knapweedroad {
 namespace {
 
-// A data folder that is gone with the test; its state is the last record.
+// A temporary data folder that is removed at the end of the test. The state,
+// and so the snapshot, is the last record that was appended.
 class TestDataFolder {
  public:
   TestDataFolder() {
@@ -39,7 +40,7 @@
     return store.Append(this->state).has_value();
   }
 
-  // Writes three records and closes.
+  // Appends three records and closes the store.
   void WriteThreeRecords() {
     auto store = this->Open();
     for (const char* record : {"one", "two", "three"}) {
@@ -57,7 +58,7 @@
     return newest;
   }
 
-  // Turns over the byte `from_end` bytes before the end.
+  // Inverts all bits of the byte at `from_end` bytes before the end.
   void InvertByte(size_t from_end) const {
     std::fstream file(this->NewestFile(),
                       std::ios::in | std::ios::out | std::ios::binary);
@@ -90,9 +91,9 @@
   cr_assert(folder.records == expected);
 }
 
-// A replica loses power in the middle of a write and won't start, or starts
-// from garbage. Cause: the half-written record wasn't told from a whole one.
-// It had not been synced, so nothing was answered for it.
+// A replica that lost power during a write does not start, or starts from an
+// incomplete record. The torn record had not been synced, so no reply depended
+// on it and Open() must truncate it.
 Test(RecordStore, TruncatesTornTailAndContinuesAppending) {
   for (size_t cut = kSyncMarkerBytes + 1; cut < 2 * kSyncMarkerBytes + 5;
        ++cut) {
@@ -106,13 +107,13 @@
     }
     cr_assert(folder.Open().has_value());
     const Records expected = {"one", "two", "four"};
-    cr_assert(folder.records == expected, "cut %zu", cut);
+    cr_assert(folder.records == expected, "%zu bytes truncated", cut);
   }
 }
 
-// A disk returns other bytes than were synced, in the last record of all. The
-// replica starts from the record before, forgets a vote it has answered, and
-// an accepted change reverts. Cause: damage was taken for a torn tail.
+// A disk returns other bytes than were synced in the last record, and the
+// corruption is taken for a torn tail. The replica would start from the
+// previous record, lose a vote that it had sent, and revert an accepted change.
 Test(RecordStore, OpenRejectsCorruptedRecordWithItsOffset) {
   const size_t last_record = kSyncMarkerBytes + 5 + kSyncMarkerBytes;
   for (size_t from_end = kSyncMarkerBytes + 1; from_end <= last_record;
@@ -142,8 +143,9 @@
   cr_assert(folder.Open().error().kind == StorageErrorKind::kLocked);
 }
 
-// A sync fails, the next one succeeds, and the replica answers for a record
-// that the kernel has dropped. Cause: a failed sync was tried again.
+// A failed sync is retried and succeeds although the kernel has dropped the
+// unwritten pages. The replica would reply for a record that is not on the
+// disk.
 Test(RecordStore, RejectsAppendsAfterFailedSync) {
   TestDataFolder folder;
   auto store = folder.Open();
@@ -168,8 +170,9 @@
   cr_assert_str_eq(folder.records.back().c_str(), "state 99");
 }
 
-// Power fails while a new file takes over: it has no name yet, or the old one
-// isn't removed yet. Either way the last synced state is there.
+// Power fails while a new file replaces the old one: before the new file is
+// renamed to its final name, or before the old file is removed. The last synced
+// state must be read in both cases.
 Test(RecordStore, RecoversFromInterruptedFileReplacement) {
   TestDataFolder folder;
   folder.WriteThreeRecords();
@@ -183,7 +186,7 @@
   cr_assert(!std::filesystem::exists(folder.folder + "/state-0"));
 }
 
-// The syncs of one append: what a change costs.
+// The cost of an accepted change depends on the number of syncs per append.
 Test(RecordStore, AppendSyncsOnce) {
   TestDataFolder folder;
   auto store = folder.Open();
--- a/knapweedroad/storage/storage_error.h
+++ b/knapweedroad/storage/storage_error.h
@@ -1,5 +1,3 @@
-// Errors of the files under the data folder.
-
 #ifndef KNAPWEEDROAD_STORAGE_STORAGE_ERROR_H_
 #define KNAPWEEDROAD_STORAGE_STORAGE_ERROR_H_
 
@@ -9,18 +7,27 @@
 namespace knapweedroad {
 
 enum class StorageErrorKind : uint8_t {
-  kLocked,     // another process uses the folder
-  kIo,         // a call on a file failed; nothing was acknowledged
-  kCorrupted,  // what had been synced reads differently: never started from
-  kFailed,     // an earlier write or sync failed: the store takes no more
+  // Another process uses the data folder.
+  kLocked,
+  // A system call on a file failed. The record was not acknowledged.
+  kIo,
+  // Synced data has changed or cannot be used. The process must not start from
+  // it.
+  kCorrupted,
+  // An earlier write or sync failed. The store accepts no more records.
+  kFailed,
 };
 
+// An error of the files in the data folder.
 struct StorageError {
   StorageErrorKind kind = StorageErrorKind::kIo;
+  // The file or folder concerned.
   std::string path;
-  // Of the first damaged byte; zero where that means nothing.
+  // The offset in bytes of the first corrupted record or marker in the file;
+  // zero for other errors.
   uint64_t offset = 0;
-  // What is wrong and what to do about it, for the log.
+  // A message for the log: what is wrong and, where the operator can act, what
+  // to do.
   std::string detail;
 };
 
